--- a/lab/judge.py
+++ b/lab/judge.py
@@ -173,10 +173,15 @@
         """Accepted jobs with tasks left to do that nobody has called off; gangs and jobs bound by zones need more than
         room for a task, and are left out."""
         return [
-            job for job, seen in self.jobs.items()
-            if seen.accepted is not None and seen.cancel_asked is None and len(seen.done) < seen.spec.tasks
-            and seen.spec.kind != "gang" and not seen.spec.one_zone and not seen.spec.spread
-        ]  # fmt: skip
+            job
+            for job, seen in self.jobs.items()
+            if seen.accepted is not None
+            and seen.cancel_asked is None
+            and len(seen.done) < seen.spec.tasks
+            and seen.spec.kind != "gang"
+            and not seen.spec.one_zone
+            and not seen.spec.spread
+        ]
 
     def running(self) -> list[str]:
         """Jobs with a task on a machine that nobody has called off."""
@@ -247,9 +252,11 @@
         asked = [seen for seen in self.jobs.values() if seen.cancel_asked is not None]
         waits = [seen.cancel_told - (seen.cancel_asked or 0.0) for seen in asked if seen.cancel_told is not None]
         return {
-            "asked": len(asked), "told": len(waits), "late": sum(wait > 1.0 for wait in waits),
+            "asked": len(asked),
+            "told": len(waits),
+            "late": sum(wait > 1.0 for wait in waits),
             "longest_s": round(max(waits, default=0.0), 3),
-        }  # fmt: skip
+        }
 
     def could_run(self, job: str, room: bool) -> None:
         """Asked again and again after all troubles, of each open job: whether a task of it would find room."""
--- a/lab/net.py
+++ b/lab/net.py
@@ -204,9 +204,10 @@
         factory = target.listening.get(port) if target is not None and there is not None else None
         if cut is not None or factory is None or there is None:
             self.push(
-                self.now + 2 * delay, transport.reactor,
+                self.now + 2 * delay,
+                transport.reactor,
                 lambda: transport.failIfNotConnected(error.ConnectionRefusedError()),
-            )  # fmt: skip
+            )
             return
         asked = there
 
@@ -397,9 +398,14 @@
 
     def callLater(self, delay: float, callable: Callable[..., Any], *args: object, **kw: object) -> DelayedCall:
         call = DelayedCall(
-            self.simulation.now + max(0.0, delay), callable, args, kw, lambda call: None, self._again,
+            self.simulation.now + max(0.0, delay),
+            callable,
+            args,
+            kw,
+            lambda call: None,
+            self._again,
             lambda: self.simulation.now,
-        )  # fmt: skip
+        )
         self.simulation.push(call.time, self, call)
         return call
 
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -67,11 +67,34 @@
 
 
 FaultKind = Literal[
-    "node_kill", "node_freeze", "node_slow", "node_cut", "peers_refuse", "store_outage", "store_slow", "store_refuses",
-    "store_late", "kill_after_write", "zone_cut", "machine_die", "machine_hang", "machine_cut", "capacity",
-    "store_loss", "machine_deaf", "machine_back", "report_copies", "late_writes", "late_commands", "cloud_outage",
-    "machine_mute", "cancel_now", "cancel_at_end", "close_looks", "odd_requests",
-]  # fmt: skip
+    "node_kill",
+    "node_freeze",
+    "node_slow",
+    "node_cut",
+    "peers_refuse",
+    "store_outage",
+    "store_slow",
+    "store_refuses",
+    "store_late",
+    "kill_after_write",
+    "zone_cut",
+    "machine_die",
+    "machine_hang",
+    "machine_cut",
+    "capacity",
+    "store_loss",
+    "machine_deaf",
+    "machine_back",
+    "report_copies",
+    "late_writes",
+    "late_commands",
+    "cloud_outage",
+    "machine_mute",
+    "cancel_now",
+    "cancel_at_end",
+    "close_looks",
+    "odd_requests",
+]
 
 
 class Fault(Struct, forbid_unknown_fields=True):
--- a/lab/services.py
+++ b/lab/services.py
@@ -207,12 +207,19 @@
         self._calls = Bucket(facts.rps, 2.0)
         self.types = [
             {
-                "label": one.name, "cpus": one.cpus, "gpus": 0.0, "memoryGb": one.memory_gb, "localGb": 100.0,
-                "fetchGbPerS": fetch_gb_per_s, "rate": one.price, "marketPrice": one.spot_price,
-                "readyS": one.boot_s, "fields": one.zones,
+                "label": one.name,
+                "cpus": one.cpus,
+                "gpus": 0.0,
+                "memoryGb": one.memory_gb,
+                "localGb": 100.0,
+                "fetchGbPerS": fetch_gb_per_s,
+                "rate": one.price,
+                "marketPrice": one.spot_price,
+                "readyS": one.boot_s,
+                "fields": one.zones,
             }
             for one in types
-        ]  # fmt: skip
+        ]
         self.share = 1.0
         """Of the room that the types have."""
         self.rented: dict[str, float] = {}
@@ -238,9 +245,10 @@
     def granted(self, request: dict[str, Any]) -> int:
         kind = self._kinds[request["build"]]
         same = sum(
-            1 for one in self.machines.values()
+            1
+            for one in self.machines.values()
             if (one["build"], one["field"], one["stubble"]) == (request["build"], request["field"], request["stubble"])
-        )  # fmt: skip
+        )
         return max(0, min(int(request["howMany"]), int(kind.most * self.share) - same))
 
     def listed(self, since: str, limit: int) -> dict[str, Any]:
--- a/lab/standins.py
+++ b/lab/standins.py
@@ -143,14 +143,30 @@
 
 TYPES = [
     {
-        "label": "small", "cpus": 4.0, "gpus": 0.0, "memoryGb": 16.0, "localGb": 50.0, "fetchGbPerS": 1.0,
-        "rate": 0.4, "marketPrice": 0.1, "readyS": 1.0, "fields": ["east", "west"],
+        "label": "small",
+        "cpus": 4.0,
+        "gpus": 0.0,
+        "memoryGb": 16.0,
+        "localGb": 50.0,
+        "fetchGbPerS": 1.0,
+        "rate": 0.4,
+        "marketPrice": 0.1,
+        "readyS": 1.0,
+        "fields": ["east", "west"],
     },
     {
-        "label": "large", "cpus": 16.0, "gpus": 2.0, "memoryGb": 64.0, "localGb": 50.0, "fetchGbPerS": 1.0,
-        "rate": 1.6, "marketPrice": 0.4, "readyS": 1.0, "fields": ["east"],
+        "label": "large",
+        "cpus": 16.0,
+        "gpus": 2.0,
+        "memoryGb": 64.0,
+        "localGb": 50.0,
+        "fetchGbPerS": 1.0,
+        "rate": 1.6,
+        "marketPrice": 0.4,
+        "readyS": 1.0,
+        "fields": ["east"],
     },
-]  # fmt: skip
+]
 
 
 class CloudService:
@@ -220,10 +236,17 @@
     def report(self) -> dict[str, Any]:
         self.seq += 1
         return {
-            "stall": self.machine["id"], "addr": self.machine["addr"], "build": self.machine["build"],
-            "field": self.machine["field"], "stubble": self.machine["stubble"], "tenure": self.session,
-            "tally": self.seq, "crook": self.token, "recallS": self.notice, "heads": list(self.tasks.values()),
-        }  # fmt: skip
+            "stall": self.machine["id"],
+            "addr": self.machine["addr"],
+            "build": self.machine["build"],
+            "field": self.machine["field"],
+            "stubble": self.machine["stubble"],
+            "tenure": self.session,
+            "tally": self.seq,
+            "crook": self.token,
+            "recallS": self.notice,
+            "heads": list(self.tasks.values()),
+        }
 
     def obey(self, calls: list[dict[str, Any]]) -> None:
         for call in calls:
--- a/lab/world.py
+++ b/lab/world.py
@@ -118,10 +118,11 @@
         for job in self.judge.waiting():
             spec = self.world.works[job].spec
             fitting = (
-                one for one in machines
+                one
+                for one in machines
                 if (spec["builds"] is None or one.machine["build"] in spec["builds"])
                 and (spec["stubble"] or not one.machine["stubble"])
-            )  # fmt: skip
+            )
             self.judge.could_run(job, any(one.has_room(spec) for one in fitting))
 
     def _region(self) -> None:
@@ -144,17 +145,25 @@
     def settings(self, name: str) -> Settings:
         scenario = self.scenario
         facts = {
-            "zones": scenario.zones, "initial_size": scenario.nodes, "clock_off_ms": 5.0,
-            "teams": self._settings["teams"], "state": self._settings["state"],
-            "cloud": self._settings["cloud"], "workers": self._settings["workers"],
-        }  # fmt: skip
+            "zones": scenario.zones,
+            "initial_size": scenario.nodes,
+            "clock_off_ms": 5.0,
+            "teams": self._settings["teams"],
+            "state": self._settings["state"],
+            "cloud": self._settings["cloud"],
+            "workers": self._settings["workers"],
+        }
         value: dict[str, Any] = {
-            "host_name": name, "zone": self.simulation.hosts[name].zone, "api_addr": f"{name}:8080",
-            "peer_bind": f"{name}:8081", "outside": {"cloud": "cloud:8443", "state": "state:2379"}, "facts": facts,
+            "host_name": name,
+            "zone": self.simulation.hosts[name].zone,
+            "api_addr": f"{name}:8080",
+            "peer_bind": f"{name}:8081",
+            "outside": {"cloud": "cloud:8443", "state": "state:2379"},
+            "facts": facts,
             "peers": [
                 {"host_name": other, "zone": "", "endpoint": f"{other}:8081"} for other in self.names if other != name
             ],
-        }  # fmt: skip
+        }
         for peer in value["peers"]:
             peer["zone"] = scenario.zones[self.names.index(peer["host_name"]) % len(scenario.zones)]
         return msgspec.convert(value, Settings, strict=False)
@@ -200,8 +209,9 @@
                 ended = self._ended if self._ended is not None else now
                 self._ended = None
                 self.judge.note(f"{caller} leads with token {token}")
-                self.takeovers.append(Takeover(round(now - START, 3), token, caller, round(ended - START, 3),
-                                               round(now - ended, 3)))  # fmt: skip
+                self.takeovers.append(
+                    Takeover(round(now - START, 3), token, caller, round(ended - START, 3), round(now - ended, 3))
+                )
             elif str(write.get("write", "")).startswith("t/") and self.takeovers:
                 last = self.takeovers[-1]
                 if last.first_placement_s is None and last.node == caller:
@@ -244,21 +254,36 @@
 
     def up(self, zone: str | None = None) -> list[str]:
         return [
-            name for name, one in sorted(self.machines.items())
+            name
+            for name, one in sorted(self.machines.items())
             if (zone is None or one.machine["field"] == zone) and name not in self.cloud.died
-        ]  # fmt: skip
+        ]
 
     # Users
 
     def _submit(self, jobs: Jobs, name: str, at: float, number: int) -> None:
         spec = {
-            "id": name, "herd": jobs.job_class, "steward": jobs.team, "breed": KINDS[jobs.kind],
-            "rank": RANKS[jobs.priority], "heads": jobs.tasks, "cpus": jobs.cpus, "gpus": 0.0,
-            "memoryGb": jobs.memory_gb, "feedstock": f"img-{jobs.job_class}", "pullGb": jobs.image_gb,
-            "builds": jobs.types, "field": None, "oneZone": jobs.one_zone, "scatter": jobs.spread,
-            "stubble": jobs.spot, "grazeS": 0.0 if jobs.kind == "service" else jobs.run_s,
-            "stookS": jobs.checkpoint_s, "baleS": jobs.save_s, "sundownS": jobs.deadline_s,
-        }  # fmt: skip
+            "id": name,
+            "herd": jobs.job_class,
+            "steward": jobs.team,
+            "breed": KINDS[jobs.kind],
+            "rank": RANKS[jobs.priority],
+            "heads": jobs.tasks,
+            "cpus": jobs.cpus,
+            "gpus": 0.0,
+            "memoryGb": jobs.memory_gb,
+            "feedstock": f"img-{jobs.job_class}",
+            "pullGb": jobs.image_gb,
+            "builds": jobs.types,
+            "field": None,
+            "oneZone": jobs.one_zone,
+            "scatter": jobs.spread,
+            "stubble": jobs.spot,
+            "grazeS": 0.0 if jobs.kind == "service" else jobs.run_s,
+            "stookS": jobs.checkpoint_s,
+            "baleS": jobs.save_s,
+            "sundownS": jobs.deadline_s,
+        }
         run_s = [jobs.run_s * self.random.uniform(0.7, 1.3) + n * jobs.apart_s for n in range(jobs.tasks)]
         if jobs.kind == "gang":
             run_s = [run_s[0]] * jobs.tasks
@@ -267,9 +292,19 @@
         def begin() -> None:
             self.world.works[name] = Work(spec, run_s)
             self.judge.submitted(
-                Spec(name, jobs.job_class, jobs.team, jobs.kind, jobs.tasks, jobs.cpus, jobs.spot, jobs.types,
-                     jobs.one_zone, jobs.spread)
-            )  # fmt: skip
+                Spec(
+                    name,
+                    jobs.job_class,
+                    jobs.team,
+                    jobs.kind,
+                    jobs.tasks,
+                    jobs.cpus,
+                    jobs.spot,
+                    jobs.types,
+                    jobs.one_zone,
+                    jobs.spread,
+                )
+            )
             Deferred.fromCoroutine(self.users.live(spec, jobs.cancel_after_s, again))
 
         self.users._reactor.callLater(at, begin)
@@ -446,6 +481,9 @@
             "again": self.judge.again,
             "kept_at_word": self.judge.kept_at_word,
             "store": {"requests": self.store.requests, "written": self.store.written, "refused": self.store.refusals},
-            "submit_s": {"accepted": len(self.users.submit_s), "longest": round(max(self.users.submit_s, default=0), 3),
-                         "gave_up": self.users.gave_up},
-        }  # fmt: skip
+            "submit_s": {
+                "accepted": len(self.users.submit_s),
+                "longest": round(max(self.users.submit_s, default=0), 3),
+                "gave_up": self.users.gave_up,
+            },
+        }
--- a/meadowcross/app.py
+++ b/meadowcross/app.py
@@ -144,9 +144,13 @@
         )
         follower = self.follower
         self.eras = Eras(
-            reactor, self.store, lambda why: on_loss(why), lambda: follower.thaw() if follower is not None else None,
-            cloud.oldest, self._floor,
-        )  # fmt: skip
+            reactor,
+            self.store,
+            lambda why: on_loss(why),
+            lambda: follower.thaw() if follower is not None else None,
+            cloud.oldest,
+            self._floor,
+        )
         eras = self.eras
         self._teller: Teller | None = None
 
@@ -157,14 +161,22 @@
             self.relay.token_seen(token)
             pool = (
                 RelayPool(
-                    reactor, node, token, self.link, http, brief, operator.relays,
+                    reactor,
+                    node,
+                    token,
+                    self.link,
+                    http,
+                    brief,
+                    operator.relays,
                     workers_served(settings, SOCKETS_ALONE),
-                    {NodeName(peer.host_name): peer.zone for peer in settings.peers}, facts.workers.report_s,
-                    operator.silent_s, self.link.fresh_beats,
+                    {NodeName(peer.host_name): peer.zone for peer in settings.peers},
+                    facts.workers.report_s,
+                    operator.silent_s,
+                    self.link.fresh_beats,
                 )
                 if operator.relays is not RelayMode.NEVER
                 else None
-            )  # fmt: skip
+            )
             term = Term(
                 reactor,
                 settings,
@@ -229,10 +241,22 @@
             era = eras.record.number if eras.record is not None else None
             followed = follower.followed() if follower is not None else Mark(0)
             return Beat(
-                node, self.store.answering(), self.election.token, visitors.count(), life, warm, self.link.all_lost(),
-                era, eras.is_lost(), eras.old, self.election.seasoned, eras.highest, followed, self.store.used(),
+                node,
+                self.store.answering(),
+                self.election.token,
+                visitors.count(),
+                life,
+                warm,
+                self.link.all_lost(),
+                era,
+                eras.is_lost(),
+                eras.old,
+                self.election.seasoned,
+                eras.highest,
+                followed,
+                self.store.used(),
                 relay_room,
-            )  # fmt: skip
+            )
 
         def on_beat(beat: Beat) -> None:
             if self.standby is not None:
@@ -319,9 +343,20 @@
             return None
 
         self.election = Election(
-            reactor, self.store, node, life, operator.hold_s, begin_term, end_term, turn, successor, eras.token,
-            new_era, lambda mark: token_of(eras.record.number if eras.record is not None else 0, mark), eras.is_lost,
-        )  # fmt: skip
+            reactor,
+            self.store,
+            node,
+            life,
+            operator.hold_s,
+            begin_term,
+            end_term,
+            turn,
+            successor,
+            eras.token,
+            new_era,
+            lambda mark: token_of(eras.record.number if eras.record is not None else 0, mark),
+            eras.is_lost,
+        )
 
         async def serve(operation: str, job: str, body: bytes) -> Answer:
             return await api.serve(operation, job, body)
@@ -362,18 +397,32 @@
         )
         self.audit = Audit(reactor, self.store, eras, follower, our_audit) if follower is not None else None
         self.rebuild = Rebuild(
-            reactor, self.store, eras, follower, node, lambda: [one.node for one in self.link.fresh_beats()],
-            self.link.ask_picture, self._snapshots, operator.lost_wait_s or None,
+            reactor,
+            self.store,
+            eras,
+            follower,
+            node,
+            lambda: [one.node for one in self.link.fresh_beats()],
+            self.link.ask_picture,
+            self._snapshots,
+            operator.lost_wait_s or None,
             [NodeName(peer.host_name) for peer in settings.peers],
-        )  # fmt: skip
+        )
         self.standby = (
             Standby(
-                reactor, self.store, self.election, follower, self.link.lost, self.link.fresh_beats, beat,
-                visitors.since, operator.hold_s,
+                reactor,
+                self.store,
+                self.election,
+                follower,
+                self.link.lost,
+                self.link.fresh_beats,
+                beat,
+                visitors.since,
+                operator.hold_s,
             )
             if follower is not None and operator.warm_standby >= 2
             else None
-        )  # fmt: skip
+        )
         self.router = Router()
         api = JobApi(
             reactor,
@@ -387,12 +436,18 @@
             follower.get if follower is not None else lambda key: None,
             lambda: follower.state.value if follower is not None else "off",
             Trust(
-                lambda: eras.record is not None, eras.closed, eras.unknown_may_be_somebodys, to_leader,
-                follower.accepted if follower is not None else lambda key, value, mark: None, missing, elder,
+                lambda: eras.record is not None,
+                eras.closed,
+                eras.unknown_may_be_somebodys,
+                to_leader,
+                follower.accepted if follower is not None else lambda key, value, mark: None,
+                missing,
+                elder,
                 lambda: eras.highest > (known[1] if (known := known_leader()) is not None else Token(0)),
-                eras.shown_by_machines, cancels.tell,
+                eras.shown_by_machines,
+                cancels.tell,
             ),
-        )  # fmt: skip
+        )
         api.routes(self.router)
         WorkerApi(take_report, leader_name, visitors, eras.token_seen, self.relay).routes(self.router)
 
@@ -442,11 +497,15 @@
 
         operator, eras = self._operator, self.eras
         writer = Writer(
-            self._reactor, follower, NodeName(self._settings.host_name),
+            self._reactor,
+            follower,
+            NodeName(self._settings.host_name),
             lambda: eras.record.number if eras.record is not None and eras.phase is None else None,
-            operator.snapshot_directory, operator.snapshot_every_s, int(operator.snapshot_keep),
+            operator.snapshot_directory,
+            operator.snapshot_every_s,
+            int(operator.snapshot_keep),
             operator.snapshot_keep_h * 3600.0,
-        )  # fmt: skip
+        )
         Deferred.fromCoroutine(writer.run())
 
     async def leave(self, why: str) -> None:
--- a/meadowcross/estimates/learned.py
+++ b/meadowcross/estimates/learned.py
@@ -128,8 +128,19 @@
 class Entry:
     """What was learned of a class, a team or everything."""
 
-    __slots__ = ("ends", "name", "overdue", "parts", "ratio", "ratio_miss", "spread_all", "spread_in_job", "time",
-                 "time_miss", "widths")  # fmt: skip
+    __slots__ = (
+        "ends",
+        "name",
+        "overdue",
+        "parts",
+        "ratio",
+        "ratio_miss",
+        "spread_all",
+        "spread_in_job",
+        "time",
+        "time_miss",
+        "widths",
+    )
 
     def __init__(self, name: str, ratio: Track, time: Track) -> None:
         self.name = name
--- a/meadowcross/estimates/replay.py
+++ b/meadowcross/estimates/replay.py
@@ -159,8 +159,10 @@
         self.after = after
         self.learned = ByLearning()
         self._predictors: dict[str, Predictor] = {
-            "learned": self.learned, "owner": ByOwner(), "corrected_mean": ByMean(),
-        }  # fmt: skip
+            "learned": self.learned,
+            "owner": ByOwner(),
+            "corrected_mean": ByMean(),
+        }
         self._tallies: dict[str, dict[str, Tally]] = {}
         self._runs: dict[str, list[Run]] = {}
         for run in history:
--- a/meadowcross/jobs/book.py
+++ b/meadowcross/jobs/book.py
@@ -36,8 +36,17 @@
     """One attempt of a task on a machine; it counts until proven gone."""
 
     __slots__ = (
-        "attempt", "grace", "inherited", "machine", "phase", "running_at", "since", "stop_at", "task", "told_at",
-    )  # fmt: skip
+        "attempt",
+        "grace",
+        "inherited",
+        "machine",
+        "phase",
+        "running_at",
+        "since",
+        "stop_at",
+        "task",
+        "told_at",
+    )
 
     def __init__(self, task: TaskId, attempt: Attempt, machine: MachineId, phase: Phase, since: Instant) -> None:
         self.task = task
--- a/meadowcross/leadership/messages.py
+++ b/meadowcross/leadership/messages.py
@@ -111,14 +111,38 @@
 
 
 Message = (
-    Beat | ProgressQuestion | ProgressAnswer | Forward | Forwarded | CancelsTold | CancelsTaken
-    | Hints | HintsWanted | Handover | Handed | PictureWanted | PicturePart | relay.Message
-)  # fmt: skip
+    Beat
+    | ProgressQuestion
+    | ProgressAnswer
+    | Forward
+    | Forwarded
+    | CancelsTold
+    | CancelsTaken
+    | Hints
+    | HintsWanted
+    | Handover
+    | Handed
+    | PictureWanted
+    | PicturePart
+    | relay.Message
+)
 
 __all__ = [
-    "LEADER_KEY", "MAX_CANCELS", "Beat", "CancelsTaken", "CancelsTold", "Forward", "Forwarded", "LeaderRecord",
-    "Message", "ProgressAnswer", "ProgressQuestion", "decode", "decode_leader", "encode",
-]  # fmt: skip
+    "LEADER_KEY",
+    "MAX_CANCELS",
+    "Beat",
+    "CancelsTaken",
+    "CancelsTold",
+    "Forward",
+    "Forwarded",
+    "LeaderRecord",
+    "Message",
+    "ProgressAnswer",
+    "ProgressQuestion",
+    "decode",
+    "decode_leader",
+    "encode",
+]
 
 encode = msgspec.json.Encoder().encode
 decode = msgspec.json.Decoder(Message).decode
--- a/meadowcross/leadership/outlook.py
+++ b/meadowcross/leadership/outlook.py
@@ -205,7 +205,12 @@
             if job.cancelled is None and job.complete:
                 took = max(LEAST_S, now - at)
                 log.debug(
-                    "job %s (%s) took %.1f s, said %.1f to %.1f, about %.1f", job.id, stage, took, said.low, said.high,
+                    "job %s (%s) took %.1f s, said %.1f to %.1f, about %.1f",
+                    job.id,
+                    stage,
+                    took,
+                    said.low,
+                    said.high,
                     said.middle,
-                )  # fmt: skip
+                )
                 self._learned.came(stage, middle, took)
--- a/meadowcross/leadership/standby.py
+++ b/meadowcross/leadership/standby.py
@@ -128,8 +128,10 @@
             self.false_alarms += 1
             log.info(
                 "false alarm %d: %s was alive when its hold was ended; no other is ended for %.0f s",
-                self.false_alarms, beat.node, self._quiet_until - self.now,
-            )  # fmt: skip
+                self.false_alarms,
+                beat.node,
+                self._quiet_until - self.now,
+            )
 
     def peer_lost(self, peer: NodeName) -> None:
         """The link to a peer was closed, and its address refuses."""
@@ -164,10 +166,14 @@
     def _seen(self, leader: NodeName, began: Instant, rate: float) -> Seen:
         others = [beat for beat in self._peers() if beat.node != leader]
         return Seen(
-            self._lost(leader), len(others), sum(leader in beat.lost for beat in others), rate,
-            self._follower.quiet_since(Instant(began + SETTLED_S)), self._came_since(began),
+            self._lost(leader),
+            len(others),
+            sum(leader in beat.lost for beat in others),
+            rate,
+            self._follower.quiet_since(Instant(began + SETTLED_S)),
+            self._came_since(began),
             self._follower.picture.counts().machines,
-        )  # fmt: skip
+        )
 
     async def _end(self, leader: NodeName, token: Token, why: str) -> None:
         item = await self._store.get(LEADER_KEY, Urgency.LEADERSHIP)
--- a/meadowcross/leadership/term_loading.py
+++ b/meadowcross/leadership/term_loading.py
@@ -212,15 +212,21 @@
         boots, closed, pressed = self.fleet.known()
         blamed, pauses = self.health.known(now)
         hints = Hints(
-            NodeName(""), self.token, 0, "",
+            NodeName(""),
+            self.token,
+            0,
+            "",
             sessions={m.id: m.version.session or m.presumed_session for m in machines},
             silent={m.id: round(self.view.silence(m), 1) for m in machines if self.view.silent(m)},
             notices={m.id: round(m.taken_at - now, 1) for m in machines if m.taken_at is not None},
-            blamed=blamed, pauses=pauses, boots=boots,
+            blamed=blamed,
+            pauses=pauses,
+            boots=boots,
             closed=[(kind.type, kind.zone, kind.spot, left) for kind, left in closed],
-            pressed=pressed, asked=self._giving_way.known(now),
+            pressed=pressed,
+            asked=self._giving_way.known(now),
             ratios=dict(self.runs.ratios) if isinstance(self.runs, MeanRuns) else {},
-        )  # fmt: skip
+        )
         picture = self._picture_now()
         if picture is not None and self.committer.idle() and self._wrote <= picture.revision:
             hints.counts = (picture.revision, *picture.counts())
--- a/meadowcross/leadership/view.py
+++ b/meadowcross/leadership/view.py
@@ -224,9 +224,15 @@
         aged = elapsed > AGED_S and not job.begun
         count = 1 if (probing or (aged and spec.kind is jm.Kind.ARRAY)) and not job.is_gang else job.waiting_count
         want = Want(
-            job.id, spec, count, job.rank, slack(job.dues, elapsed, run), job.retrying and not probing, within == 0,
+            job.id,
+            spec,
+            count,
+            job.rank,
+            slack(job.dues, elapsed, run),
+            job.retrying and not probing,
+            within == 0,
             within,
-        )  # fmt: skip
+        )
         want.run_s, want.aged = run, aged
         want.fetch_s = fetch = spec.image_gb / fastest
         up_slack = self._aims.up_slack(spec, elapsed, want.retrying)
--- a/meadowcross/rebuild/audit.py
+++ b/meadowcross/rebuild/audit.py
@@ -54,9 +54,10 @@
                 return
             picture = self._follower.picture
             marks = {
-                key: item.mark for key in keys[first : first + self._store.max_conditions]
+                key: item.mark
+                for key in keys[first : first + self._store.max_conditions]
                 if (item := picture.get(key)) is not None
-            }  # fmt: skip
+            }
             differ = await self._store.compare([Condition(key, mark) for key, mark in marks.items()], Urgency.LATER)
             for key in differ:
                 await self._look(key)
--- a/meadowcross/rebuild/gather.py
+++ b/meadowcross/rebuild/gather.py
@@ -153,8 +153,11 @@
         merged = merge(sources, left, self.eras.mark, self.eras.old)
         log.info(
             "gathered from %s and %d keys left in the store: %d keys, %d of them to write back",
-            ", ".join(merged.sources) or "nobody", len(left), len(merged.items), len(merged.missing("")),
-        )  # fmt: skip
+            ", ".join(merged.sources) or "nobody",
+            len(left),
+            len(merged.items),
+            len(merged.missing("")),
+        )
         return merged, revision
 
 
--- a/meadowcross/replica/follower.py
+++ b/meadowcross/replica/follower.py
@@ -100,9 +100,13 @@
     def _become(self, state: State, why: str) -> None:
         if state is not self.state:
             log.info(
-                "replica %s: %s (%d keys, about %d KB, revision %d)", state.value, why,
-                sum(self.picture.counts()), self.picture.size // 1024, self.picture.revision,
-            )  # fmt: skip
+                "replica %s: %s (%d keys, about %d KB, revision %d)",
+                state.value,
+                why,
+                sum(self.picture.counts()),
+                self.picture.size // 1024,
+                self.picture.revision,
+            )
             self.state = state
 
     async def run(self) -> None:
--- a/meadowcross/replica/hints.py
+++ b/meadowcross/replica/hints.py
@@ -50,14 +50,22 @@
         gone = [name for name in self._told if name not in now.sessions]
         # Ages grow by themselves: told again only where machines came up since.
         boots = {
-            name: seen for name, seen in now.boots.items()
+            name: seen
+            for name, seen in now.boots.items()
             if [took for _, took in self._boots.get(name, [])] != [took for _, took in seen]
-        }  # fmt: skip
+        }
         self._number += 1
         message = replace(
-            now, node=self._node, token=self._token, number=self._number, settings=self._settings, whole=self._whole,
-            sessions=sessions, gone=gone, boots=boots,
-        )  # fmt: skip
+            now,
+            node=self._node,
+            token=self._token,
+            number=self._number,
+            settings=self._settings,
+            whole=self._whole,
+            sessions=sessions,
+            gone=gone,
+            boots=boots,
+        )
         self._told.update(sessions)
         for name in gone:
             del self._told[name]
--- a/meadowcross/snapshots/writer.py
+++ b/meadowcross/snapshots/writer.py
@@ -92,9 +92,10 @@
         marks = {item.key: item.mark for item in items}
         after = Mark(0) if full or self._at is None else self._at[1]
         lines = [
-            files.Line(item.key, item.mark, item.value) for item in items
+            files.Line(item.key, item.mark, item.value)
+            for item in items
             if full or self._last.get(item.key) != item.mark
-        ]  # fmt: skip
+        ]
         if not full:
             lines += [files.Line(key, revision, dropped=True) for key in self._last if key not in marks]
         manifest = files.Manifest(files.KIND, files.FORMAT, era, revision, after, len(lines), 0, "", self._node, now)
--- a/meadowcross/tickets/intake.py
+++ b/meadowcross/tickets/intake.py
@@ -161,9 +161,14 @@
         content = r.Content(submission.document, submission.parameters, specs)
         pieces = r.split(content, self._store.max_value - 64)
         record = r.TicketRecord(
-            r.FORMAT, plan.name, submitter.name, digest, len(pieces), WallTime(self._clock.seconds()),
+            r.FORMAT,
+            plan.name,
+            submitter.name,
+            digest,
+            len(pieces),
+            WallTime(self._clock.seconds()),
             [r.StepRecord(step.name, step.tasks, step.after) for step in plan.steps],
-        )  # fmt: skip
+        )
         value = sm.raw(record)
         if len(bytes(value)) > self._store.max_value:
             return _json(422, {"error": "too many steps with long names to keep", "field": "steps"})
--- a/meadowcross/tickets/plan.py
+++ b/meadowcross/tickets/plan.py
@@ -74,9 +74,16 @@
     if tasks > submitter.max_tasks:
         raise TicketError(f"{field}.parameterSpace", f"{tasks} tasks; {submitter.name} may have {submitter.max_tasks}")
     made = Step(
-        step.name, tasks, [numbers[one.dependsOn] for one in step.dependencies or []],
-        submitter.cpus, 0.0, submitter.memory_gb, None, None, _kept(step),
-    )  # fmt: skip
+        step.name,
+        tasks,
+        [numbers[one.dependsOn] for one in step.dependencies or []],
+        submitter.cpus,
+        0.0,
+        submitter.memory_gb,
+        None,
+        None,
+        _kept(step),
+    )
     asked = step.hostRequirements
     where = f"{field}.hostRequirements"
     for i, amount in enumerate(asked.amounts or [] if asked is not None else []):
--- a/measure/cancels.py
+++ b/measure/cancels.py
@@ -44,10 +44,14 @@
         return round(waits[min(len(waits) - 1, int(share * len(waits)))], 3) if waits else None
 
     return {
-        "stored": len(stored), "told": len(waits), "withheld_at_first": len(withheld.keys() & stored.keys()),
+        "stored": len(stored),
+        "told": len(waits),
+        "withheld_at_first": len(withheld.keys() & stored.keys()),
         "later_than_1_s": sum(wait > LATE_S for wait in waits),
-        "p50_s": quantile(0.5), "p95_s": quantile(0.95), "longest_s": round(waits[-1], 3) if waits else None,
-    }  # fmt: skip
+        "p50_s": quantile(0.5),
+        "p95_s": quantile(0.95),
+        "longest_s": round(waits[-1], 3) if waits else None,
+    }
 
 
 def main(arguments: list[str]) -> int:
--- a/measure/cost.py
+++ b/measure/cost.py
@@ -63,9 +63,14 @@
     names = [f"i-{number:06d}" for number in range(machines)]
     for number, name in enumerate(names):
         machine = {
-            "id": name, "build": "large", "field": "east", "stubble": True, "standing": "running", "ageS": 90.0,
+            "id": name,
+            "build": "large",
+            "field": "east",
+            "stubble": True,
+            "standing": "running",
+            "ageS": 90.0,
             "addr": f"{name}:9000",
-        }  # fmt: skip
+        }
         world.cloud.machines[name] = machine
         world.worker_up(machine)
         record = to_builtins(MachineRecord("large", "east", True, WallTime(900.0), Address(f"{name}:9000")))
--- a/measure/day.py
+++ b/measure/day.py
@@ -115,10 +115,18 @@
             day.jobs.setdefault(
                 found[1],
                 DayJob(
-                    found[1], found[2], found[3], found[4], int(found[5]), float(found[6]), float(found[7]),
-                    float(found[8]), float(found[9]) or None, at,
+                    found[1],
+                    found[2],
+                    found[3],
+                    found[4],
+                    int(found[5]),
+                    float(found[6]),
+                    float(found[7]),
+                    float(found[8]),
+                    float(found[9]) or None,
+                    at,
                 ),
-            )  # fmt: skip
+            )
         elif found := RUNS.match(text):
             # A new leader tells anew of what it finds running.
             if found[1] in day.jobs:
--- a/measure/history.py
+++ b/measure/history.py
@@ -24,9 +24,18 @@
     for _, job, run in sorted(ended, key=lambda one: one[0]):
         machine = day.machines.get(run.machine)
         yield Run(
-            job.job_class, max(LEAST_S, round(run.seconds, 3)), job.estimate_s, OUTCOMES.get(run.why, "lost"),
-            job.team, machine.kind[0] if machine else "", job.name, run.machine, job.cpus, 0.0, job.memory_gb,
-        )  # fmt: skip
+            job.job_class,
+            max(LEAST_S, round(run.seconds, 3)),
+            job.estimate_s,
+            OUTCOMES.get(run.why, "lost"),
+            job.team,
+            machine.kind[0] if machine else "",
+            job.name,
+            run.machine,
+            job.cpus,
+            0.0,
+            job.memory_gb,
+        )
 
 
 def main(arguments: list[str]) -> int:
--- a/measure/learning.py
+++ b/measure/learning.py
@@ -56,13 +56,22 @@
             number += 1
             rank = chance.choice(["critical", "normal", "normal", "idle"])
             spec = job(
-                id=f"wk-{number:06d}", herd=f"class {number % 12}", heads=chance.choice([1, 8, 60]), rank=rank,
-                builds=["large"], grazeS=chance.uniform(5, 60), sundownS=300.0,
-            )  # fmt: skip
-            world.state.transact({
-                "if": [],
-                "writes": [{"write": "j/" + spec["id"], "data": {"spec": spec, "t": world.clock.seconds(), "k": 256}}],
-            })  # fmt: skip
+                id=f"wk-{number:06d}",
+                herd=f"class {number % 12}",
+                heads=chance.choice([1, 8, 60]),
+                rank=rank,
+                builds=["large"],
+                grazeS=chance.uniform(5, 60),
+                sundownS=300.0,
+            )
+            world.state.transact(
+                {
+                    "if": [],
+                    "writes": [
+                        {"write": "j/" + spec["id"], "data": {"spec": spec, "t": world.clock.seconds(), "k": 256}}
+                    ],
+                }
+            )
 
     def end_some() -> int:
         ended = 0
@@ -89,9 +98,14 @@
     size = sum(len(msgspec.json.encode(item["data"])) for item in stored.values())
     writes = sum(e.get("write", "").startswith(em.PREFIX) for e in world.state.log)
     return Cost(
-        setting, done, round(1000 * took / max(1, done), 3), round(resident_mb() - before, 1), len(stored),
-        round(size / max(1, len(stored))), writes,
-    )  # fmt: skip
+        setting,
+        done,
+        round(1000 * took / max(1, done), 3),
+        round(resident_mb() - before, 1),
+        len(stored),
+        round(size / max(1, len(stored))),
+        writes,
+    )
 
 
 def import_ms() -> float:
--- a/measure/state.py
+++ b/measure/state.py
@@ -48,13 +48,29 @@
     """A batch job as users submit it."""
     return msgspec.convert(
         {
-            "id": f"wk-{number:06d}", "herd": "caption-index", "steward": f"team-{number % 47}", "breed": "batch",
-            "rank": "normal", "heads": tasks, "cpus": 1.2, "gpus": 0.0, "memoryGb": 2.0, "feedstock": "img-07",
-            "pullGb": 1.5, "builds": None, "field": None, "oneZone": False, "scatter": False, "stubble": True,
-            "grazeS": 120.0, "stookS": 0.0, "baleS": 0.0, "sundownS": 600.0,
+            "id": f"wk-{number:06d}",
+            "herd": "caption-index",
+            "steward": f"team-{number % 47}",
+            "breed": "batch",
+            "rank": "normal",
+            "heads": tasks,
+            "cpus": 1.2,
+            "gpus": 0.0,
+            "memoryGb": 2.0,
+            "feedstock": "img-07",
+            "pullGb": 1.5,
+            "builds": None,
+            "field": None,
+            "oneZone": False,
+            "scatter": False,
+            "stubble": True,
+            "grazeS": 120.0,
+            "stookS": 0.0,
+            "baleS": 0.0,
+            "sundownS": 600.0,
         },
         jm.JobSpec,
-    )  # fmt: skip
+    )
 
 
 def record(number: int, tasks: int = TASKS_A_JOB) -> jm.JobRecord:
--- a/measure/takeover.py
+++ b/measure/takeover.py
@@ -29,11 +29,18 @@
 LEAST_RATE = 0.5
 
 HEADINGS = {
-    "end_s": "end of the leader", "node": "next", "token": "token", "token_s": "token after (s)",
-    "picture_s": "picture", "placement_s": "first placement stored", "start_s": "first start sent",
-    "answered_s": "9 of 10 machines answered", "again_s": "starts as before", "machines": "machines",
+    "end_s": "end of the leader",
+    "node": "next",
+    "token": "token",
+    "token_s": "token after (s)",
+    "picture_s": "picture",
+    "placement_s": "first placement stored",
+    "start_s": "first start sent",
+    "answered_s": "9 of 10 machines answered",
+    "again_s": "starts as before",
+    "machines": "machines",
     "placements": "placements",
-}  # fmt: skip
+}
 
 
 @dataclass(slots=True)
--- a/measure/tickets.py
+++ b/measure/tickets.py
@@ -73,12 +73,18 @@
     changed = [event.get("write") or event["drop"] for event in farm.state.log]
     state = [call for call in farm.net.calls if call[1].startswith("s:1")]
     return Cost(
-        count, accept.get_value_at_percentile(50) / 1000, accept.get_value_at_percentile(99) / 1000,
-        round(1000 * (time.process_time() - began_cpu) / count, 2), round(len(state) / count, 1),
+        count,
+        accept.get_value_at_percentile(50) / 1000,
+        accept.get_value_at_percentile(99) / 1000,
+        round(1000 * (time.process_time() - began_cpu) / count, 2),
+        round(len(state) / count, 1),
         round(sum(key.startswith(r.PREFIX) for key in changed) / count, 1),
-        round(sum(one.requests for one in driven) / count, 1), sum(one.retried for one in driven), len(lost),
-        round(first, 1), round(half, 1),
-    )  # fmt: skip
+        round(sum(one.requests for one in driven) / count, 1),
+        sum(one.retried for one in driven),
+        len(lost),
+        round(first, 1),
+        round(half, 1),
+    )
 
 
 def main(arguments: list[str]) -> int:
--- a/scale/child.py
+++ b/scale/child.py
@@ -73,10 +73,16 @@
         plan = setup.plan
         host = Host(reactor, RealTime(reactor, plan.seed + 1), service_host(setup.network))
         return CloudProcess(
-            host, plan.cloud, plan.types, plan.facts.fetch_gb_per_s, plan.hollow_processes, plan.workers, setup.network,
+            host,
+            plan.cloud,
+            plan.types,
+            plan.facts.fetch_gb_per_s,
+            plan.hollow_processes,
+            plan.workers,
+            setup.network,
             self._recorder,
             self._member.send,
-        )  # fmt: skip
+        )
 
     def _users(self, number: int, setup: Setup) -> Submitters:
         host = Host(reactor, RealTime(reactor, setup.plan.seed + 2))
@@ -115,8 +121,10 @@
         elif isinstance(self._role, StateProcess):
             store = self._role.store
             tally.store_requests, tally.store_changes, tally.store_refused = (
-                store.requests, store.written, store.refusals,
-            )  # fmt: skip
+                store.requests,
+                store.written,
+                store.refusals,
+            )
         self._tallies.write(msgspec.json.encode(tally) + b"\n")
         self._tallies.flush()
 
--- a/scale/events.py
+++ b/scale/events.py
@@ -111,9 +111,21 @@
 
 
 Event = (
-    TaskOn | TaskOff | LeaseEnded | Commanded | TokenSeen | Deleted | LeaderSet | Killed | Submitted | Told | Refused
-    | Polled | Cancelling | Stray
-)  # fmt: skip
+    TaskOn
+    | TaskOff
+    | LeaseEnded
+    | Commanded
+    | TokenSeen
+    | Deleted
+    | LeaderSet
+    | Killed
+    | Submitted
+    | Told
+    | Refused
+    | Polled
+    | Cancelling
+    | Stray
+)
 encode = msgspec.json.Encoder().encode
 decode = msgspec.json.Decoder(Event).decode
 
--- a/scale/report.py
+++ b/scale/report.py
@@ -50,9 +50,23 @@
 
 
 COLUMNS = (
-    "run", "workers", "stretch", "relays", "starts/s", "leader cpu", "peak", "others cpu", "leader MB",
-    "leader sockets", "others sockets", "store req/start", "changes/start", "report p99 ms", "leases ended", "broken",
-)  # fmt: skip
+    "run",
+    "workers",
+    "stretch",
+    "relays",
+    "starts/s",
+    "leader cpu",
+    "peak",
+    "others cpu",
+    "leader MB",
+    "leader sockets",
+    "others sockets",
+    "store req/start",
+    "changes/start",
+    "report p99 ms",
+    "leases ended",
+    "broken",
+)
 
 
 def row(name: str, summary: dict[str, Any]) -> list[str]:
@@ -61,13 +75,27 @@
     leader = summary["usage"].get("leader", none)
     others = summary["usage"].get("other controllers", none)
     starts = max(1, summary["starts"])
-    return [str(one) for one in (
-        name, summary["workers"], summary["stretch"], summary["relays"], summary["starts_a_second"]["mean"],
-        leader["processor_mean"], leader["processor_peak"], others["processor_mean"], leader["memory_peak_mb"],
-        leader["sockets_peak"], others["sockets_peak"], round(summary["store"]["requests"] / starts, 3),
-        round(summary["store"]["changes"] / starts, 3), summary["reports"]["answer_ms"]["p99"],
-        summary["leases_ended"], len(summary["broken"]),
-    )]  # fmt: skip
+    return [
+        str(one)
+        for one in (
+            name,
+            summary["workers"],
+            summary["stretch"],
+            summary["relays"],
+            summary["starts_a_second"]["mean"],
+            leader["processor_mean"],
+            leader["processor_peak"],
+            others["processor_mean"],
+            leader["memory_peak_mb"],
+            leader["sockets_peak"],
+            others["sockets_peak"],
+            round(summary["store"]["requests"] / starts, 3),
+            round(summary["store"]["changes"] / starts, 3),
+            summary["reports"]["answer_ms"]["p99"],
+            summary["leases_ended"],
+            len(summary["broken"]),
+        )
+    ]
 
 
 def report(directories: list[Path], plot: str | None) -> int:
--- a/scale/run.py
+++ b/scale/run.py
@@ -124,28 +124,46 @@
     peers = {one: controller_address(network, number, PEER_PORT) for number, one in enumerate(names)}
     facts, state, cloud, limits = plan.facts, plan.state, plan.cloud, plan.limits
     lines = [
-        f'host_name = "{name}"', f'zone = "{zones[name]}"', f'api_addr = "{api[name]}"',
+        f'host_name = "{name}"',
+        f'zone = "{zones[name]}"',
+        f'api_addr = "{api[name]}"',
         f'peer_bind = "{peers[name]}"',
-    ]  # fmt: skip
+    ]
     for other in api:
         if other != name:
             endpoint = f'endpoint = "{peers[other]}"'
             lines += ["[[peers]]", f'host_name = "{other}"', f'zone = "{zones[other]}"', endpoint]
     every_zone = sorted({zone for one in plan.types for zone in one.zones} | set(plan.zones))
     lines += [
-        "[outside]", f'state = "{service_address(network, STATE_PORT)}"',
+        "[outside]",
+        f'state = "{service_address(network, STATE_PORT)}"',
         f'cloud = "{service_address(network, CLOUD_PORT)}"',
-        "[facts]", f"initial_size = {plan.controllers}", f"zones = {msgspec.json.encode(every_zone).decode()}",
-    ]  # fmt: skip
+        "[facts]",
+        f"initial_size = {plan.controllers}",
+        f"zones = {msgspec.json.encode(every_zone).decode()}",
+    ]
     for team in plan.teams:
         lines += ["[[facts.teams]]", f'name = "{team.name}"', f"cpus = {team.cpus}", f"cpus_max = {team.cpus_max}"]
     lines += [
-        "[facts.workers]", f"report_s = {facts.report_s}", f"lease_s = {facts.lease_s}",
-        f"gang_wait_s = {facts.gang_wait_s}", f"gang_peer_s = {facts.gang_peer_s}", f"cancel_s = {facts.cancel_s}",
-        "[facts.state]", f"rps = {state.rps}", f"write_rps = {state.write_rps}", f"value_kb = {state.value_kb}",
-        f"txn_ops = {state.txn_ops}", "[facts.cloud]", f"rps = {cloud.rps}", f"list_lag_s = {cloud.list_lag_s}",
-        "[facts.machine_limits]", f"cpu = {limits.cpu}", f"mem_mb = {limits.mem_mb}", f"fd_limit = {limits.sockets}",
-    ]  # fmt: skip
+        "[facts.workers]",
+        f"report_s = {facts.report_s}",
+        f"lease_s = {facts.lease_s}",
+        f"gang_wait_s = {facts.gang_wait_s}",
+        f"gang_peer_s = {facts.gang_peer_s}",
+        f"cancel_s = {facts.cancel_s}",
+        "[facts.state]",
+        f"rps = {state.rps}",
+        f"write_rps = {state.write_rps}",
+        f"value_kb = {state.value_kb}",
+        f"txn_ops = {state.txn_ops}",
+        "[facts.cloud]",
+        f"rps = {cloud.rps}",
+        f"list_lag_s = {cloud.list_lag_s}",
+        "[facts.machine_limits]",
+        f"cpu = {limits.cpu}",
+        f"mem_mb = {limits.mem_mb}",
+        f"fd_limit = {limits.sockets}",
+    ]
     return "\n".join(lines) + "\n"
 
 
--- a/scale/submitters.py
+++ b/scale/submitters.py
@@ -72,9 +72,24 @@
     def _spec(self, load: Load, name: str) -> dict[str, Any]:
         tasks = max(1, round(load.tasks * self._luck.uniform(0.5, 1.5)))
         return {
-            "id": name, "herd": load.job_class, "steward": load.team, "breed": "batch", "rank": load.priority,
-            "heads": tasks, "cpus": load.cpus, "gpus": 0.0, "memoryGb": load.memory_gb,
-            "feedstock": f"img-{load.job_class}-{self._luck.randrange(load.images)}", "pullGb": load.image_gb,
-            "builds": None, "field": None, "oneZone": False, "scatter": False, "stubble": True,
-            "grazeS": load.run_s, "stookS": 0.0, "baleS": 0.0, "sundownS": load.deadline_s,
-        }  # fmt: skip
+            "id": name,
+            "herd": load.job_class,
+            "steward": load.team,
+            "breed": "batch",
+            "rank": load.priority,
+            "heads": tasks,
+            "cpus": load.cpus,
+            "gpus": 0.0,
+            "memoryGb": load.memory_gb,
+            "feedstock": f"img-{load.job_class}-{self._luck.randrange(load.images)}",
+            "pullGb": load.image_gb,
+            "builds": None,
+            "field": None,
+            "oneZone": False,
+            "scatter": False,
+            "stubble": True,
+            "grazeS": load.run_s,
+            "stookS": 0.0,
+            "baleS": 0.0,
+            "sundownS": load.deadline_s,
+        }
--- a/scale/verdict.py
+++ b/scale/verdict.py
@@ -136,10 +136,13 @@
     accepted = [one.accepted - one.submitted for one in jobs if one.accepted is not None]
     begun = [one.begun - one.submitted for one in jobs if one.begun is not None]
     return {
-        "jobs": len(jobs), "accepted": len(accepted), "begun": len(begun),
+        "jobs": len(jobs),
+        "accepted": len(accepted),
+        "begun": len(begun),
         "done": sum(one.told == "done" for one in jobs),
-        "accepted_s": percentiles(accepted), "begun_s": percentiles(begun),
-    }  # fmt: skip
+        "accepted_s": percentiles(accepted),
+        "begun_s": percentiles(begun),
+    }
 
 
 def tallies(directory: Path) -> dict[str, list[Tally]]:
@@ -158,11 +161,13 @@
         if tally.answers:
             answers.decode_and_add(tally.answers)
     return {
-        "count": sum(one.reports for one in last), "unanswered": sum(one.unanswered for one in last),
+        "count": sum(one.reports for one in last),
+        "unanswered": sum(one.unanswered for one in last),
         "commands": sum(one.commands for one in last),
-        "sent_bytes": sum(one.sent_bytes for one in last), "received_bytes": sum(one.received_bytes for one in last),
+        "sent_bytes": sum(one.sent_bytes for one in last),
+        "received_bytes": sum(one.received_bytes for one in last),
         "answer_ms": {f"p{p:g}": answers.get_value_at_percentile(p) for p in PERCENTILES},
-    }  # fmt: skip
+    }
 
 
 def sum_up(plan: Plan, directory: Path, began: float) -> dict[str, Any]:
@@ -178,15 +183,24 @@
     state = last.get("state0", Tally(0.0, "state0"))
     busiest = sorted(replay.starts.values(), reverse=True)
     return {
-        "plan": plan.name, "workers": plan.workers, "controllers": plan.controllers, "relays": plan.relays,
-        "stretch": plan.stretch, "seed": plan.seed, "duration_s": plan.duration_s,
-        "broken": judge.broken, "starts": judge.started, "started_again": judge.again,
+        "plan": plan.name,
+        "workers": plan.workers,
+        "controllers": plan.controllers,
+        "relays": plan.relays,
+        "stretch": plan.stretch,
+        "seed": plan.seed,
+        "duration_s": plan.duration_s,
+        "broken": judge.broken,
+        "starts": judge.started,
+        "started_again": judge.again,
         "starts_a_second": {
-            "mean": round(judge.started / plan.duration_s, 1), "busiest": busiest[0] if busiest else 0,
+            "mean": round(judge.started / plan.duration_s, 1),
+            "busiest": busiest[0] if busiest else 0,
         },
-        "leases_ended": replay.leases_ended, "ends_without_done": dict(replay.lost),
+        "leases_ended": replay.leases_ended,
+        "ends_without_done": dict(replay.lost),
         "classes": {name: _waits(jobs) for name, jobs in sorted(classes.items())},
         "takeovers": msgspec.to_builtins(replay.takeovers),
         "reports": _reports([one for name, one in last.items() if name.startswith("hollow")]),
         "store": {"requests": state.store_requests, "changes": state.store_changes, "refused": state.store_refused},
-    }  # fmt: skip
+    }
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -31,10 +31,15 @@
 
 pytest_plugins = ["tests.known_red"]
 SETTINGS = {
-    "host_name": "n0", "zone": "east", "api_addr": "127.0.0.1:1", "peer_bind": "127.0.0.1:2",
+    "host_name": "n0",
+    "zone": "east",
+    "api_addr": "127.0.0.1:1",
+    "peer_bind": "127.0.0.1:2",
     "outside": {"cloud": "cloud:1", "state": "state:1"},
     "facts": {
-        "zones": ["east", "west"], "initial_size": 3, "clock_off_ms": 5.0,
+        "zones": ["east", "west"],
+        "initial_size": 3,
+        "clock_off_ms": 5.0,
         "teams": [{"name": "a", "cpus": 4.0, "cpus_max": 8.0}, {"name": "b"}],
         "objectives": [
             {"kind": "finished", "class": "slow", "within_s": 250.0, "share": 0.8},
@@ -44,17 +49,33 @@
         "state": {"rps": 1000.0, "write_rps": 1000.0, "value_kb": 16.0, "txn_ops": 24},
         "cloud": {"rps": 50.0, "list_lag_s": 3.0},
     },
-}  # fmt: skip
+}
 
 
 def job(**changes: Any) -> dict[str, Any]:
     """A valid submission, with some fields changed; a value of ... leaves the field out."""
     fields = {
-        "id": "wk-000001", "herd": "train", "steward": "b", "breed": "batch", "rank": "normal", "heads": 2,
-        "cpus": 1.0, "gpus": 0.0, "memoryGb": 2.0, "feedstock": "img", "pullGb": 1.0, "builds": None,
-        "field": None, "oneZone": False, "scatter": False, "stubble": True, "grazeS": 30.0, "stookS": 0.0,
-        "baleS": 0.0, "sundownS": 90.0,
-    }  # fmt: skip
+        "id": "wk-000001",
+        "herd": "train",
+        "steward": "b",
+        "breed": "batch",
+        "rank": "normal",
+        "heads": 2,
+        "cpus": 1.0,
+        "gpus": 0.0,
+        "memoryGb": 2.0,
+        "feedstock": "img",
+        "pullGb": 1.0,
+        "builds": None,
+        "field": None,
+        "oneZone": False,
+        "scatter": False,
+        "stubble": True,
+        "grazeS": 30.0,
+        "stookS": 0.0,
+        "baleS": 0.0,
+        "sundownS": 90.0,
+    }
     fields.update(changes)
     return {key: value for key, value in fields.items() if value is not ...}
 
@@ -93,9 +114,17 @@
     def begin(self, token: int) -> Term:
         cloud = Cloud(self.clock, self.net, Address("cloud:1"), self.settings.facts.cloud)
         self.term = Term(
-            self.clock, self.settings, self.operator, self.store, self.net, cloud, lambda: self.types, token,
-            self.election, lambda: self.peers_hear,
-        )  # fmt: skip
+            self.clock,
+            self.settings,
+            self.operator,
+            self.store,
+            self.net,
+            cloud,
+            lambda: self.types,
+            token,
+            self.election,
+            lambda: self.peers_hear,
+        )
         self.term.start()
         self.terms.append(self.term)
         return self.term
@@ -113,9 +142,15 @@
             return None
 
         return JobApi(
-            self.clock, self.store, self.settings.facts.teams, ["east", "west"], lambda: self.types, nothing, bool,
+            self.clock,
+            self.store,
+            self.settings.facts.teams,
+            ["east", "west"],
+            lambda: self.types,
+            nothing,
+            bool,
             nothing,
-        )  # fmt: skip
+        )
 
     def pass_time(self, seconds: float, step: float = 0.05) -> None:
         """Advance the clock; workers report every second while `reporting`."""
--- a/tests/mix.py
+++ b/tests/mix.py
@@ -38,8 +38,12 @@
         {"kind": "store_refuses", "at_s": refused, "node": "leader", "for_s": 12.0},
         {"kind": "store_outage", "at_s": refused + rng.uniform(0.5, 5.0), "for_s": rng.choice([5.0, 20.0, 45.0])},
         {"kind": "node_freeze", "at_s": frozen, "node": "leader", "for_s": 12.0},
-        {"kind": "node_kill", "at_s": frozen + rng.uniform(0.5, 5.0), "node": rng.choice(["leader", "all"]),
-         "back_s": back_s},
+        {
+            "kind": "node_kill",
+            "at_s": frozen + rng.uniform(0.5, 5.0),
+            "node": rng.choice(["leader", "all"]),
+            "back_s": back_s,
+        },
         {"kind": "cloud_outage", "at_s": rng.uniform(25.0, 70.0), "for_s": 25.0},
         {"kind": "machine_cut", "at_s": rng.uniform(25.0, 70.0), "count": 25, "for_s": 24.0},
         {"kind": "machine_mute", "at_s": rng.uniform(15.0, 60.0), "count": 25, "for_s": 30.0},
@@ -49,7 +53,7 @@
         {"kind": "odd_requests", "at_s": 10.0, "for_s": 70.0},
         {"kind": "late_writes", "at_s": rng.uniform(10.0, 60.0), "for_s": 25.0, "share": 0.3, "at_once": True},
         {"kind": "report_copies", "at_s": 10.0, "for_s": 70.0, "factor": 1.0, "for_next": True},
-    ]  # fmt: skip
+    ]
     many = {"machine_deaf", "machine_back"}
     return [
         fault | {"count": fault["count"] * 6} if fault["kind"] in many else fault
--- a/tests/test_cancels.py
+++ b/tests/test_cancels.py
@@ -36,10 +36,10 @@
 LONELY = [
     {"kind": "node_cut", "at_s": REFUSED_S, "node": "leader", "apart": apart, "for_s": 36.0}
     for apart in ("store", "peers")
-]  # fmt: skip
+]
 APART = [
     {"kind": "node_cut", "at_s": 26.0, "node": node, "apart": "peers", "for_s": 20.0} for node in ("n0", "n1", "n2")
-]  # fmt: skip
+]
 
 
 STOPPED_S = OUTAGE_S + 4.0
@@ -210,8 +210,10 @@
         cancelled = [name for name, seen in lab.judge.jobs.items() if seen.cancel_asked is not None]
         gap.fetching = sum(
             task["standing"] == "fetching" and task["head"].rpartition("/")[0] in cancelled
-            for machine in lab.machines.values() if machine.deaf for task in machine.tasks.values()
-        )  # fmt: skip
+            for machine in lab.machines.values()
+            if machine.deaf
+            for task in machine.tasks.values()
+        )
 
     lab.simulation.at(29.5, look)
 
@@ -274,35 +276,64 @@
 ROWS = [
     # what happens, by which troubles, what else, what came about
     ("refused alone, then all", [REFUSED, OUTAGE], None, stopped_in_the_gap),
-    ("and the leader is back at once without its memory",
-     [REFUSED, OUTAGE, {"kind": "node_kill", "at_s": 32.0, "node": "leader", "back_s": 0.05}], None,
-     told_after_the_gap),
-    ("and the leader is back after a second",
-     [REFUSED, OUTAGE, {"kind": "node_kill", "at_s": ASIDE_S, "node": "leader", "back_s": 1.0}], None,
-     told_after_the_gap),
-    ("and the leader is silent",
-     [REFUSED, OUTAGE, {"kind": "node_freeze", "at_s": ASIDE_S, "node": "leader", "for_s": 30.0}], None, silent),
+    (
+        "and the leader is back at once without its memory",
+        [REFUSED, OUTAGE, {"kind": "node_kill", "at_s": 32.0, "node": "leader", "back_s": 0.05}],
+        None,
+        told_after_the_gap,
+    ),
+    (
+        "and the leader is back after a second",
+        [REFUSED, OUTAGE, {"kind": "node_kill", "at_s": ASIDE_S, "node": "leader", "back_s": 1.0}],
+        None,
+        told_after_the_gap,
+    ),
+    (
+        "and the leader is silent",
+        [REFUSED, OUTAGE, {"kind": "node_freeze", "at_s": ASIDE_S, "node": "leader", "for_s": 30.0}],
+        None,
+        silent,
+    ),
     ("and the cloud is down", [REFUSED, OUTAGE, CLOUD_DOWN], None, stopped_in_the_gap),
-    ("and machines hear nothing",
-     [REFUSED, OUTAGE, CLOUD_DOWN, {"kind": "machine_deaf", "at_s": 29.0, "count": 9, "for_s": 30.0}], None,
-     nothing_more),
+    (
+        "and machines hear nothing",
+        [REFUSED, OUTAGE, CLOUD_DOWN, {"kind": "machine_deaf", "at_s": 29.0, "count": 9, "for_s": 30.0}],
+        None,
+        nothing_more,
+    ),
     ("cancelled through the next, the leader cut from store and peers", LONELY, None, told_by_the_next_leader),
-    ("and some machines hear only the old leader, the cloud down", [*LONELY, CLOUD_DOWN], hears_only_the_old_leader,
-     held_back),
-    ("the next leader holds the key, and has read nothing; machines heard no stop",
-     [REFUSED, {"kind": "machine_deaf", "at_s": 29.0, "count": 6, "for_s": 4.0}], outage_before_reading, unread),
+    (
+        "and some machines hear only the old leader, the cloud down",
+        [*LONELY, CLOUD_DOWN],
+        hears_only_the_old_leader,
+        held_back,
+    ),
+    (
+        "the next leader holds the key, and has read nothing; machines heard no stop",
+        [REFUSED, {"kind": "machine_deaf", "at_s": 29.0, "count": 6, "for_s": 4.0}],
+        outage_before_reading,
+        unread,
+    ),
     ("starts held up, and the cloud is down", HELD, None, started_late),
     ("machines hang for less than a lease", [HANGS | {"hang_s": 8.0}, CLOUD_DOWN], None, hung_and_told_at_last),
-    ("machines hang for longer than a cancel has, the cloud down",
-     [HANGS | {"hang_s": CANCEL_S + 6.0}, CLOUD_DOWN], None, hung_and_told_at_last),
+    (
+        "machines hang for longer than a cancel has, the cloud down",
+        [HANGS | {"hang_s": CANCEL_S + 6.0}, CLOUD_DOWN],
+        None,
+        hung_and_told_at_last,
+    ),
     ("machines hang, and the leader ends", [HANGS | {"hang_s": 8.0}, ENDS, CLOUD_DOWN], None, hung_and_told_at_last),
     ("machines fetch an image and hear nothing", [HEARS_NOTHING, CLOUD_DOWN], fetched_slowly, fetching_and_told),
-    ("machines that reach no controller lose the stop",
-     [{"kind": "machine_mute", "at_s": 26.5, "count": 12, "for_s": 20.0}, CLOUD_DOWN], stops_lost, stopped_in_time),
+    (
+        "machines that reach no controller lose the stop",
+        [{"kind": "machine_mute", "at_s": 26.5, "count": 12, "for_s": 20.0}, CLOUD_DOWN],
+        stops_lost,
+        stopped_in_time,
+    ),
     ("controllers don't reach each other", APART, None, told_within_seconds),
     ("the leader is of the version before", [], leader_of_before, told_within_seconds),
     ("nothing but cancels", [], None, told_within_seconds),
-]  # fmt: skip
+]
 SLOW_FETCH = {"machines fetch an image and hear nothing": 0.04}
 DRAWN = {"starts held up, and the cloud is down": 2}
 """By row, the seed with which what is left to luck comes about."""
@@ -402,13 +433,16 @@
     (told_before_the_proof, "machines fetch an image and hear nothing", "ran_cancelled"),
     (not_told_to_the_leader, "refused alone, then all", "the row's mark"),
     (taken_and_not_acted_on, "refused alone, then all", "the row's mark"),
-    (nothing_stopped_before_reading, "the next leader holds the key, and has read nothing; machines heard no stop",
-     "the row's mark"),
+    (
+        nothing_stopped_before_reading,
+        "the next leader holds the key, and has read nothing; machines heard no stop",
+        "the row's mark",
+    ),
     (stops_not_repeated, "machines that reach no controller lose the stop", "the row's mark"),
     (fetching_counts_as_gone, "machines fetch an image and hear nothing", "ran_cancelled"),
     (queued_starts_leave, "starts held up, and the cloud is down", "ran_cancelled"),
     (hung_counts_as_gone, "machines hang for longer than a cancel has, the cloud down", "ran_cancelled"),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("fault", "row", "shown"), FAULTS, ids=[f"{fault.__name__}-{row}" for fault, row, _ in FAULTS])
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -62,11 +62,17 @@
 
 REPLAYED = {
     # class: at least so many within 20%; bounds of what the stated 80% held
-    "steady": (0.90, 0.72, 0.88), "told-by-owner": (0.90, 0.72, 0.88), "doubling": (0.90, 0.72, 0.88),
-    "drift": (0.90, 0.70, 0.88), "hanging": (0.90, 0.72, 0.88), "wrong-by-half": (0.90, 0.72, 1.0),
-    "two-teams": (0.90, 0.72, 0.88), "bimodal": (0.50, 0.72, 0.88), "heavy-tail": (0.15, 0.72, 0.88),
+    "steady": (0.90, 0.72, 0.88),
+    "told-by-owner": (0.90, 0.72, 0.88),
+    "doubling": (0.90, 0.72, 0.88),
+    "drift": (0.90, 0.70, 0.88),
+    "hanging": (0.90, 0.72, 0.88),
+    "wrong-by-half": (0.90, 0.72, 1.0),
+    "two-teams": (0.90, 0.72, 0.88),
+    "bimodal": (0.50, 0.72, 0.88),
+    "heavy-tail": (0.15, 0.72, 0.88),
     "arrays": (0.85, 0.70, 0.95),
-}  # fmt: skip
+}
 
 
 def test_a_replay_of_every_case_predicts_and_states_what_holds():
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -98,9 +98,15 @@
 
     def start(self, name: str) -> Gateway:
         settings = GatewaySettings(
-            name, "127.0.0.1:1", "s:1", ["n0:1", "n1:1", "n2:1"], "x", store_requests_per_s=500.0,
-            store_writes_per_s=500.0, tickets_per_s=20.0,
-        )  # fmt: skip
+            name,
+            "127.0.0.1:1",
+            "s:1",
+            ["n0:1", "n1:1", "n2:1"],
+            "x",
+            store_requests_per_s=500.0,
+            store_writes_per_s=500.0,
+            tickets_per_s=20.0,
+        )
         net = self.nets[name] = Net(self.net)
         gateway = self.gateways[name] = Gateway(self.clock, net, settings, SITE, Random(name))
         gateway.start()
@@ -298,14 +304,29 @@
 SETTLED = [
     # name, steps, cancelled, states after, ready
     ("a chain", [("waiting", []), ("waiting", [0])], None, "waiting waiting", [0]),
-    ("half of a diamond", [("done", []), ("done", [0]), ("accepted", [0]), ("waiting", [1, 2])], None,
-     "done done accepted waiting", []),
-    ("the other half", [("done", []), ("done", [0]), ("done", [0]), ("waiting", [1, 2])], None,
-     "done done done waiting", [3]),
-    ("refused, and far behind it", [("refused", []), ("waiting", [0]), ("waiting", [1]), ("waiting", [])], None,
-     "refused skipped skipped waiting", [3]),
+    (
+        "half of a diamond",
+        [("done", []), ("done", [0]), ("accepted", [0]), ("waiting", [1, 2])],
+        None,
+        "done done accepted waiting",
+        [],
+    ),
+    (
+        "the other half",
+        [("done", []), ("done", [0]), ("done", [0]), ("waiting", [1, 2])],
+        None,
+        "done done done waiting",
+        [3],
+    ),
+    (
+        "refused, and far behind it",
+        [("refused", []), ("waiting", [0]), ("waiting", [1]), ("waiting", [])],
+        None,
+        "refused skipped skipped waiting",
+        [3],
+    ),
     ("cancelled", [("accepted", []), ("allocated", []), ("waiting", [0])], 1.0, "accepted allocated cancelled", []),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("steps", "cancelled", "states", "due"), [s[1:] for s in SETTLED], ids=[s[0] for s in SETTLED])
@@ -516,11 +537,14 @@
     up = world.cloud.on_rent
     world.cloud.on_rent = lambda machine: (up(machine), setattr(world.cloud, "full", True))
     world.lead()
-    site = Site([
-        msgspec.structs.replace(SITE.submitters[0], name=rank, priority=Priority(rank), cpus=4.0, estimate_s=30.0,
-                                types=["small"])
-        for rank in set(ranks)
-    ])  # fmt: skip
+    site = Site(
+        [
+            msgspec.structs.replace(
+                SITE.submitters[0], name=rank, priority=Priority(rank), cpus=4.0, estimate_s=30.0, types=["small"]
+            )
+            for rank in set(ranks)
+        ]
+    )
     settings = GatewaySettings("g", "127.0.0.1:1", "state:1", ["n0:1"], "x", 500.0, 500.0, tickets_per_s=50.0)
     gateway = Gateway(world.clock, Direct(world), settings, site, Random(seed))
     gateway.start()
@@ -540,8 +564,16 @@
             assert world.run(gateway.intake.submit(body, rank)).status == 201
             world.pass_time(1.0)
         else:
-            world.submit(id=name, rank=rank, heads=count, cpus=4.0, herd="thumbnail", feedstock="thumbnails",
-                         builds=["small"], sundownS=None)  # fmt: skip
+            world.submit(
+                id=name,
+                rank=rank,
+                heads=count,
+                cpus=4.0,
+                herd="thumbnail",
+                feedstock="thumbnails",
+                builds=["small"],
+                sundownS=None,
+            )
     world.pass_time(2.0)
     assert set(world.term.book.jobs) == set(names)
     world.cloud.full = False
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -18,43 +18,57 @@
     (
         "a machine that fails what was done elsewhere",
         "start a 1, start a 2, done a 2, fail a 1",
-        "1", "", "",
+        "1",
+        "",
+        "",
     ),
     ("a machine that fails what lives elsewhere", "start a 1, start a 2, fail a 1, wait", "1", "", ""),
     (
         "one that fails two jobs which live elsewhere",
         "start a 1, start b 1, start b 2, start a 2, fail a 1, fail b 1, wait",
-        "1", "", "",
+        "1",
+        "",
+        "",
     ),
     ("a job that fails on two machines", "start a 1, start a 2, fail a 1, fail a 2", "", "", "a"),
     ("two faulty jobs that meet on a sound machine", "start a 1, start b 1, fail a 1, fail b 1, wait", "", "1", "ab"),
     (
         "and fail elsewhere too",
         "start a 1, start b 1, fail a 1, fail b 1, start a 2, fail a 2, start b 2, fail b 2",
-        "", "", "ab",
+        "",
+        "",
+        "ab",
     ),
     (
         "a faulty job and a sound one on a faulty machine",
         "start a 1, start b 1, fail a 1, fail b 1, start a 2, fail a 2, start b 2, wait",
-        "1", "", "a",
+        "1",
+        "",
+        "a",
     ),
     (
         "one success does not make every later failure the machines' fault",
         "start a 1, done a 1, start a 2, start a 3, start a 4, fail a 2, fail a 3, fail a 4",
-        "2", "", "a",
+        "2",
+        "",
+        "a",
     ),
     (
         "many successes do: several machines turned faulty",
         "start a 1, start a 2, start a 3, done a 1, done a 2, done a 3, start a 4, start a 5, fail a 4, fail a 5",
-        "45", "", "",
+        "45",
+        "",
+        "",
     ),
     (
         "two faulty machines met a sound job first, which is done elsewhere later",
         "start a 1, start a 2, fail a 1, fail a 2, start a 3, done a 3, start a 1, fail a 1",
-        "1", "", "",
+        "1",
+        "",
+        "",
     ),
     ("a job that ended accuses nobody", "start a 1, fail a 1, end a 0", "", "", "a"),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -332,11 +332,17 @@
 
 
 ROWS = [
-    ("one-task jobs, a quarter cancelled, while work changes hands", cancels_while_work_changes_hands,
-     some_fell_into_each),
+    (
+        "one-task jobs, a quarter cancelled, while work changes hands",
+        cancels_while_work_changes_hands,
+        some_fell_into_each,
+    ),
     ("teams at their limits, machines cut and hung, cancels, a new leader", cut_at_the_limit, full_and_pinned),
-    ("teams at their limits, machines that can't be asked, cancels, a new leader", unasked_at_the_limit,
-     full_and_pinned),
+    (
+        "teams at their limits, machines that can't be asked, cancels, a new leader",
+        unasked_at_the_limit,
+        full_and_pinned,
+    ),
     ("ten leaders in two minutes", ten_leaders, they_led),
     ("all nodes are asked within milliseconds", looked_at_closely, many_looks),
     ("cancels at the end of the last task", called_off_at_the_end, either_way),
@@ -349,7 +355,7 @@
     ("more work than room, over slow links", more_than_room, half_of_each_is_served),
     ("workers that reach no controller", reach_no_controller, nothing_is_begun_there),
     ("odd requests at every node", odd_requests, oddly_answered),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("make", "came"), [row[1:] for row in ROWS], ids=[row[0] for row in ROWS])
--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -43,9 +43,14 @@
         self.roster = Roster(Token(1))
         runs = MeanRuns()
         self.view = View(
-            self.clock, msgspec.convert(SETTINGS, Settings).facts, lambda: list(KINDS.values()), self.book, self.roster,
-            Health(lambda name: name in self.roster.machines), runs,
-        )  # fmt: skip
+            self.clock,
+            msgspec.convert(SETTINGS, Settings).facts,
+            lambda: list(KINDS.values()),
+            self.book,
+            self.roster,
+            Health(lambda name: name in self.roster.machines),
+            runs,
+        )
         self.ends = Ends(self.book, runs)
         self.number = 0
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -62,8 +62,12 @@
     made = signature(
         changed.get("secret", SECRET), "POST", PATH, changed.get("name", "agency"), 1e9 + changed.get("at", 0.0), BODY
     )
-    asked = (changed.get("header", made), changed.get("method", "POST"), changed.get("path", PATH),
-             changed.get("body", BODY))  # fmt: skip
+    asked = (
+        changed.get("header", made),
+        changed.get("method", "POST"),
+        changed.get("path", PATH),
+        changed.get("body", BODY),
+    )
     if word is None:
         assert checks.submitter(*asked) == "agency"
         with pytest.raises(KeyTrouble, match="used before"):
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -226,7 +226,12 @@
     )
     assert cancels.main([str(log), "--json"]) == 0
     assert json.loads(capsys.readouterr().out) == {
-        "stored": 3, "told": 2, "withheld_at_first": 1, "later_than_1_s": 1, "p50_s": 3.0, "p95_s": 3.0,
+        "stored": 3,
+        "told": 2,
+        "withheld_at_first": 1,
+        "later_than_1_s": 1,
+        "p50_s": 3.0,
+        "p95_s": 3.0,
         "longest_s": 3.0,
-    }  # fmt: skip
+    }
     assert cancels.main([str(tmp_path / "none")]) == 2
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -222,8 +222,10 @@
 def store_slow_and_asked():
     """Answers take up to a second while users cancel and ask; one node at a time is refused meanwhile."""
     slow = {"kind": "store_slow", "at_s": 25.0, "for_s": 40.0, "factor": 120.0}
-    refused = [{"kind": "store_refuses", "at_s": at, "node": node, "for_s": 8.0} for at, node in
-               ((30.0, "leader"), (40.0, "follower"), (50.0, "leader"))]  # fmt: skip
+    refused = [
+        {"kind": "store_refuses", "at_s": at, "node": node, "for_s": 8.0}
+        for at, node in ((30.0, "leader"), (40.0, "follower"), (50.0, "leader"))
+    ]
     cancelled = {"class": "idle", "tasks": 2, "cpus": 0.2, "run_s": 200.0, "count": 30, "at_s": 10.0, "every_s": 1.0}
     meeting = Meeting("quiet", [slow, *refused], 110.0, [LONG, FLOW, cancelled | {"cancel_after_s": 18.0}])
     meeting.sockets = [0]
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -147,9 +147,16 @@
     ]
     giving = GivingWay(Operator())
     assert not giving.choose(
-        [asked], {}, lambda: offers, lambda there: offers, rooms(), lambda rank, guaranteed: [], lambda w: False,
-        lambda key: True, Instant(1.0),
-    )  # fmt: skip
+        [asked],
+        {},
+        lambda: offers,
+        lambda there: offers,
+        rooms(),
+        lambda rank, guaranteed: [],
+        lambda w: False,
+        lambda key: True,
+        Instant(1.0),
+    )
     assert set(giving.holds) == held
     urgent = want(id="wk-000009", heads=9, rank=0, cpus=1.0, memoryGb=0.0)
     (choice,) = place(offers, [urgent, asked], rooms(), Operator(), giving.holds)
@@ -172,9 +179,16 @@
     giving = GivingWay(Operator())
     victims = [victim("cheap", "cold", loss=0.0), victim("there", "warm", loss=9.0)]
     chosen = giving.choose(
-        [asked], {}, lambda: offers, lambda there: offers, rooms(), lambda rank, guaranteed: victims, bool,
-        lambda key: True, Instant(1.0),
-    )  # fmt: skip
+        [asked],
+        {},
+        lambda: offers,
+        lambda there: offers,
+        rooms(),
+        lambda rank, guaranteed: victims,
+        bool,
+        lambda key: True,
+        Instant(1.0),
+    )
     assert [v.key for _, gone in chosen for v in gone] == ["there"] and set(giving.holds) == {"warm"}
     asked.warm_only = False
     assert [choice.machines for choice in place(offers, [asked], rooms(), Operator())] == [["cold"]]
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -53,37 +53,104 @@
     # name, sources, left in the store, version of the new era's record, what it should hold, what must be written
     ("all lost, one picture", [source("a", 9, j_x=3, w_m=4)], {}, 1, {"j/x": 3, "w/m": 4}, {"j/x", "w/m"}),
     ("the newer version of two", [source("a", 9, j_x=3), source("b", 7, j_x=2)], {}, 1, {"j/x": 3}, {"j/x"}),
-    ("who was cut off undoes no drop", [source("a", 9, j_x=3), source("b", 5, j_x=3, w_m=4)], {}, 1,
-     {"j/x": 3}, {"j/x"}),
-    ("nor an end", [source("a", 9, j_x=3, e_y=8), source("b", 5, j_x=3, j_y=4, **{"t_y_00000": 4})], {}, 1,
-     {"j/x": 3, "e/y": 8}, {"j/x", "e/y"}),
-    ("a job without an end is not over", [source("a", 9, j_x=3), source("b", 5, j_y=4)], {}, 1,
-     {"j/x": 3, "j/y": 4}, {"j/x", "j/y"}),
-    ("who is ahead of the base adds", [source("a", 9, j_x=3), source("b", 8, j_x=3, j_z=12)], {}, 1,
-     {"j/x": 3, "j/z": 12}, {"j/x", "j/z"}),
-    ("an end is kept whoever knows it", [source("a", 9, j_x=3), source("b", 5, e_y=4)], {}, 1,
-     {"j/x": 3, "e/y": 4}, {"j/x", "e/y"}),
-    ("what ended is open no more", [source("a", 9, e_x=8), source("b", 5, j_x=3, **{"t_x_00000": 4})], {}, 1,
-     {"e/x": 8}, {"e/x"}),
+    (
+        "who was cut off undoes no drop",
+        [source("a", 9, j_x=3), source("b", 5, j_x=3, w_m=4)],
+        {},
+        1,
+        {"j/x": 3},
+        {"j/x"},
+    ),
+    (
+        "nor an end",
+        [source("a", 9, j_x=3, e_y=8), source("b", 5, j_x=3, j_y=4, **{"t_y_00000": 4})],
+        {},
+        1,
+        {"j/x": 3, "e/y": 8},
+        {"j/x", "e/y"},
+    ),
+    (
+        "a job without an end is not over",
+        [source("a", 9, j_x=3), source("b", 5, j_y=4)],
+        {},
+        1,
+        {"j/x": 3, "j/y": 4},
+        {"j/x", "j/y"},
+    ),
+    (
+        "who is ahead of the base adds",
+        [source("a", 9, j_x=3), source("b", 8, j_x=3, j_z=12)],
+        {},
+        1,
+        {"j/x": 3, "j/z": 12},
+        {"j/x", "j/z"},
+    ),
+    (
+        "an end is kept whoever knows it",
+        [source("a", 9, j_x=3), source("b", 5, e_y=4)],
+        {},
+        1,
+        {"j/x": 3, "e/y": 4},
+        {"j/x", "e/y"},
+    ),
+    (
+        "what ended is open no more",
+        [source("a", 9, e_x=8), source("b", 5, j_x=3, **{"t_x_00000": 4})],
+        {},
+        1,
+        {"e/x": 8},
+        {"e/x"},
+    ),
     ("tasks without their job are dropped", [source("a", 9, **{"t_x_00000": 4})], {}, 1, {}, set()),
-    ("what came back older", [source("a", 9, j_x=8, **{"t_x_00000": 9})], items(j_x=8, **{"t_x_00000": 5}), 20,
-     {"j/x": 8, "t/x/00000": 9}, {"t/x/00000"}),
+    (
+        "what came back older",
+        [source("a", 9, j_x=8, **{"t_x_00000": 9})],
+        items(j_x=8, **{"t_x_00000": 5}),
+        20,
+        {"j/x": 8, "t/x/00000": 9},
+        {"t/x/00000"},
+    ),
     ("one key gone", [source("a", 9, j_x=8, w_m=2)], items(j_x=8), 20, {"j/x": 8, "w/m": 2}, {"w/m"}),
-    ("came back though it was dropped", [source("a", 9, j_x=8, e_y=9)], items(j_x=8, j_y=3, w_m=2), 20,
-     {"j/x": 8, "e/y": 9}, {"e/y"}),
-    ("the store is ahead of every picture", [source("a", 9, j_x=8)], items(j_x=8, j_y=11), 20,
-     {"j/x": 8, "j/y": 11}, set()),
+    (
+        "came back though it was dropped",
+        [source("a", 9, j_x=8, e_y=9)],
+        items(j_x=8, j_y=3, w_m=2),
+        20,
+        {"j/x": 8, "e/y": 9},
+        {"e/y"},
+    ),
+    (
+        "the store is ahead of every picture",
+        [source("a", 9, j_x=8)],
+        items(j_x=8, j_y=11),
+        20,
+        {"j/x": 8, "j/y": 11},
+        set(),
+    ),
     ("written in the new era", [source("a", 9, j_x=8)], items(j_x=25), 20, {"j/x": 25}, set()),
     ("nobody knows anything", [], items(j_x=8), 20, {"j/x": 8}, set()),
-    ("of an older era only ends count", [source("a", 4, era=1, j_x=3), source("b", 90, j_x=80, j_y=81, e_z=82)], {}, 1,
-     {"j/x": 3, "e/z": 82}, {"j/x", "e/z"}),
-    ("a leader's own picture is the base", [source("a", 9, j_x=3, w_m=4), source("b", 7, whole=True, j_x=3)], {}, 1,
-     {"j/x": 3}, {"j/x"}),
-]  # fmt: skip
+    (
+        "of an older era only ends count",
+        [source("a", 4, era=1, j_x=3), source("b", 90, j_x=80, j_y=81, e_z=82)],
+        {},
+        1,
+        {"j/x": 3, "e/z": 82},
+        {"j/x", "e/z"},
+    ),
+    (
+        "a leader's own picture is the base",
+        [source("a", 9, j_x=3, w_m=4), source("b", 7, whole=True, j_x=3)],
+        {},
+        1,
+        {"j/x": 3},
+        {"j/x"},
+    ),
+]
 
 
-@pytest.mark.parametrize(("sources", "left", "era_mark", "holds", "writes"), [m[1:] for m in MERGES],
-                         ids=[m[0] for m in MERGES])  # fmt: skip
+@pytest.mark.parametrize(
+    ("sources", "left", "era_mark", "holds", "writes"), [m[1:] for m in MERGES], ids=[m[0] for m in MERGES]
+)
 def test_pictures_are_merged_by_version(sources, left, era_mark, holds, writes):
     left = left or {}
     merged = merge(sources, left.values(), Mark(era_mark))
@@ -357,12 +424,14 @@
     ("all is gone, with the leader", [KILL, ALL], 12.0),
     ("in an outage", [{"kind": "store_outage", "at_s": 20.0, "for_s": 12.0}, ALL], 4.0),
     ("again during the rebuild", [ALL, ALL | {"at_s": 30.25}], 12.0),
-    ("the rebuilding node is killed, twice",
-     [ALL, KILL | {"at_s": 30.2}, KILL | {"at_s": 32.6}], 15.0),
+    ("the rebuilding node is killed, twice", [ALL, KILL | {"at_s": 30.2}, KILL | {"at_s": 32.6}], 15.0),
     ("and machines die", [KILL, ALL, {"kind": "machine_die", "at_s": 30.5, "count": 5}], 15.0),
-    ("a stale node comes back", [
-        {"kind": "node_cut", "node": "n1", "apart": "all", "at_s": 15.0, "for_s": 20.0}, KILL, BACK], 15.0),
-]  # fmt: skip
+    (
+        "a stale node comes back",
+        [{"kind": "node_cut", "node": "n1", "apart": "all", "at_s": 15.0, "for_s": 20.0}, KILL, BACK],
+        15.0,
+    ),
+]
 
 
 @pytest.mark.parametrize(("faults", "within"), [x[1:] for x in LOSSES], ids=[x[0] for x in LOSSES])
@@ -417,8 +486,9 @@
 def test_a_snapshot_brings_back_what_no_node_knows_any_more(tmp_path):
     world = lab(
         [ALL | {"at_s": 31.0}, {"kind": "node_kill", "node": "all", "at_s": 31.0}],
-        snapshot_directory=str(tmp_path), snapshot_every_s=5.0,
-    )  # fmt: skip
+        snapshot_directory=str(tmp_path),
+        snapshot_every_s=5.0,
+    )
     world.simulation.run(30.9)
     assert files.read(str(tmp_path)).source is not None
     result = world.play()
@@ -431,13 +501,15 @@
 
 def test_false_alarms_stop_nothing():
     """Slow, late, refused, away, cut off: none of it is a loss."""
-    world = lab([
-        {"kind": "store_slow", "at_s": 15.0, "for_s": 8.0, "factor": 40.0},
-        {"kind": "store_late", "at_s": 25.0, "for_s": 6.0, "count": 2},
-        {"kind": "store_refuses", "at_s": 34.0, "for_s": 6.0, "node": "leader"},
-        {"kind": "store_outage", "at_s": 45.0, "for_s": 6.0},
-        {"kind": "node_cut", "at_s": 55.0, "for_s": 8.0, "node": "follower", "apart": "store"},
-        KILL | {"at_s": 65.0},
-    ])  # fmt: skip
+    world = lab(
+        [
+            {"kind": "store_slow", "at_s": 15.0, "for_s": 8.0, "factor": 40.0},
+            {"kind": "store_late", "at_s": 25.0, "for_s": 6.0, "count": 2},
+            {"kind": "store_refuses", "at_s": 34.0, "for_s": 6.0, "node": "leader"},
+            {"kind": "store_outage", "at_s": 45.0, "for_s": 6.0},
+            {"kind": "node_cut", "at_s": 55.0, "for_s": 8.0, "node": "follower", "apart": "store"},
+            KILL | {"at_s": 65.0},
+        ]
+    )
     result = world.play()
     assert result["broken"] == [] and {node.eras.record.number for node in world.nodes.values()} == {0}
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -41,7 +41,7 @@
     ("an answer that came late", [([wrote("j/a", 1), dropped("j/a", 5)], 5), ([wrote("j/a", 1)], 4)], {}, 5),
     ("the same answer twice", [([wrote("j/a", 1)], 1), ([wrote("j/a", 1)], 1)], {"j/a": 1}, 1),
     ("written again after its drop", [([wrote("j/a", 1), dropped("j/a", 2), wrote("j/a", 3)], 3)], {"j/a": 3}, 3),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("answers", "keys", "revision"), [a[1:] for a in APPLIED], ids=[a[0] for a in APPLIED])
@@ -201,7 +201,7 @@
     ("of other settings", lambda hearer, message: hearer.hear(replace(message, settings="t")), 2.0, 8, False),
     ("too old, as after standing still for a while", lambda hearer, message: hearer.hear(message), 9.0, 8, False),
     ("of a leader not before us", lambda hearer, message: hearer.hear(message), 2.0, 7, False),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("second", "after", "token", "usable"), [u[1:] for u in USES], ids=[u[0] for u in USES])
@@ -295,19 +295,33 @@
 ALARMS = [
     # name, troubles, after which the leader must still be the same
     ("peers refuse all calls, old links live on", [{"kind": "peers_refuse", "at_s": 30.0, "for_s": 20.0}]),
-    ("the leader is cut off from its peers only, with resets",
-     [{"kind": "node_cut", "at_s": 30.0, "node": "leader", "apart": "peers", "for_s": 20.0, "mode": "reset"}]),
+    (
+        "the leader is cut off from its peers only, with resets",
+        [{"kind": "node_cut", "at_s": 30.0, "node": "leader", "apart": "peers", "for_s": 20.0, "mode": "reset"}],
+    ),
     ("it stands still for a second", [{"kind": "node_freeze", "at_s": 30.0, "node": "leader", "for_s": 1.2}]),
-    ("a slow store, and the link is cut", [
-        {"kind": "store_slow", "at_s": 28.0, "for_s": 20.0, "factor": 30.0},
-        {"kind": "node_cut", "at_s": 30.0, "node": "leader", "apart": "peers", "for_s": 15.0, "mode": "reset"}]),
-    ("a leader much slower than the rest", [
-        {"kind": "node_slow", "at_s": 25.0, "node": "leader", "factor": 3.0, "for_s": 20.0},
-        {"kind": "node_cut", "at_s": 30.0, "node": "leader", "apart": "peers", "for_s": 10.0, "mode": "reset"}]),
-    ("an outage of the store, and the link is cut", [
-        {"kind": "store_outage", "at_s": 29.0, "for_s": 8.0},
-        {"kind": "node_cut", "at_s": 30.0, "node": "leader", "apart": "peers", "for_s": 5.0, "mode": "reset"}]),
-]  # fmt: skip
+    (
+        "a slow store, and the link is cut",
+        [
+            {"kind": "store_slow", "at_s": 28.0, "for_s": 20.0, "factor": 30.0},
+            {"kind": "node_cut", "at_s": 30.0, "node": "leader", "apart": "peers", "for_s": 15.0, "mode": "reset"},
+        ],
+    ),
+    (
+        "a leader much slower than the rest",
+        [
+            {"kind": "node_slow", "at_s": 25.0, "node": "leader", "factor": 3.0, "for_s": 20.0},
+            {"kind": "node_cut", "at_s": 30.0, "node": "leader", "apart": "peers", "for_s": 10.0, "mode": "reset"},
+        ],
+    ),
+    (
+        "an outage of the store, and the link is cut",
+        [
+            {"kind": "store_outage", "at_s": 29.0, "for_s": 8.0},
+            {"kind": "node_cut", "at_s": 30.0, "node": "leader", "apart": "peers", "for_s": 5.0, "mode": "reset"},
+        ],
+    ),
+]
 
 
 @pytest.mark.parametrize("faults", [a[1] for a in ALARMS], ids=[a[0] for a in ALARMS])
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -54,7 +54,7 @@
     ("not sent yet", {"phase": Phase.STORED}, {}, None),
     ("not stored yet", {"phase": Phase.STORING}, {}, None),
     ("an older attempt ended", {}, {"tasks": [head(TaskState.EXITED, 1, "done")]}, Change.GONE),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("before", "said", "expected"), [c[1:] for c in CASES], ids=[c[0] for c in CASES])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -67,14 +67,22 @@
     ("on two machines", [SUBMITTED, ACCEPTED, ON, TWICE], {"ran_twice", "quota"}),
     ("on another after the first was deleted", [SUBMITTED, ACCEPTED, ON, e.Deleted(2.5, "i-000000"), TWICE], set()),
     ("beyond the quota", [SUBMITTED, ACCEPTED, ON, OTHER], {"quota"}),
-    ("told of the cancel, then started", [
-        SUBMITTED, ACCEPTED, e.Cancelling(1.2, "wk-000001"), e.Told(1.5, "wk-000001", "cancelled"), ON,
-    ], {"ran_cancelled"}),
+    (
+        "told of the cancel, then started",
+        [
+            SUBMITTED,
+            ACCEPTED,
+            e.Cancelling(1.2, "wk-000001"),
+            e.Told(1.5, "wk-000001", "cancelled"),
+            ON,
+        ],
+        {"ran_cancelled"},
+    ),
     ("forgotten", [SUBMITTED, ACCEPTED, ON, e.Polled(5.0, "wk-000001", 404)], {"forgotten"}),
     ("said to be done too soon", [SUBMITTED, ACCEPTED, ON, e.Told(5.0, "wk-000001", "done")], {"not_done"}),
     ("invented", [SUBMITTED, ACCEPTED, ON, e.Stray(5.0, "wk-999999", 200)], {"invented"}),
     ("nothing ran", [SUBMITTED, ACCEPTED], {"nothing_ran"}),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("history", "rules"), [row[1:] for row in HISTORIES], ids=[row[0] for row in HISTORIES])
@@ -91,10 +99,17 @@
 
 def test_how_long_a_takeover_takes():
     history = [
-        SUBMITTED, ACCEPTED, e.TokenSeen(1.0, "i-000000", 5), e.TokenSeen(1.0, "i-000001", 5),
-        e.Killed(4.0, "n0", True), e.LeaderSet(5.0, "n1", 9), e.Commanded(5.5, 9), e.TokenSeen(6.0, "i-000000", 9),
-        e.TokenSeen(8.0, "i-000001", 9), ON,
-    ]  # fmt: skip
+        SUBMITTED,
+        ACCEPTED,
+        e.TokenSeen(1.0, "i-000000", 5),
+        e.TokenSeen(1.0, "i-000001", 5),
+        e.Killed(4.0, "n0", True),
+        e.LeaderSet(5.0, "n1", 9),
+        e.Commanded(5.5, 9),
+        e.TokenSeen(6.0, "i-000000", 9),
+        e.TokenSeen(8.0, "i-000001", 9),
+        ON,
+    ]
     replay = Replay(load(str(SHORT)), 0.0)
     replay.play(iter(history))
     takeover = replay.takeovers[0]
@@ -106,8 +121,8 @@
     site += "arrivals = { rate = 0.5, start_s = 5.0 }\n[[targets]]\ncount = 0\n"
     assert enlarge(site, Growth("t", 2.0, 3.0, 5)) == (
         'name = "t"\n[nodes]\ncount = 5\n[[capacity]]\ncount = 20\nspot = 8\n[[jobs]]\ninitial = 6\n'
-        'arrivals = { rate = 1.5000, start_s = 5.0 }\n[[targets]]\ncount = 0\n'
-    )  # fmt: skip
+        "arrivals = { rate = 1.5000, start_s = 5.0 }\n[[targets]]\ncount = 0\n"
+    )
 
 
 def test_usage_goes_by_the_role_in_each_interval():
@@ -115,8 +130,11 @@
     after = Interval(2.0, "n1", [Usage("n0", 0.1, 30.0, 4), Usage("n1", 0.7, 60.0, 12)])
     roles = usage_by_role([before, after])
     assert roles["leader"] == {
-        "processor_mean": 0.6, "processor_peak": 0.7, "memory_peak_mb": 60.0, "sockets_peak": 12,
-    }  # fmt: skip
+        "processor_mean": 0.6,
+        "processor_peak": 0.7,
+        "memory_peak_mb": 60.0,
+        "sockets_peak": 12,
+    }
     assert roles["other controllers"]["sockets_peak"] == 5 and roles["hollow"]["sockets_peak"] == 7
 
 
--- a/tests/test_sizing.py
+++ b/tests/test_sizing.py
@@ -32,7 +32,7 @@
     ("needs a gpu", need(1, gpus=1.0), [], set(), [("large", True, 1)]),
     ("dear under pressure", need(4, builds=["small"]), [], SPOT, [("small", False, 1)]),
     ("not dear without", need(4, False, builds=["small"]), [], SPOT, []),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("what", "coming", "closed", "expected"), [p[1:] for p in PLANS], ids=[p[0] for p in PLANS])
@@ -100,21 +100,40 @@
 
 BOUND = [
     # name, changes of the job, tasks placed by zone, coming (zone, CPUs), tasks to place, by zone
-    ("a spread service, nothing there", {"breed": "daemon", "scatter": True, "heads": 4}, {}, [], 4,
-     {"east": 2, "west": 2}),
-    ("a spread service, two in one zone already", {"scatter": True, "heads": 4}, {"east": 2}, [("east", 8.0)], 2,
-     {"west": 2}),
+    (
+        "a spread service, nothing there",
+        {"breed": "daemon", "scatter": True, "heads": 4},
+        {},
+        [],
+        4,
+        {"east": 2, "west": 2},
+    ),
+    (
+        "a spread service, two in one zone already",
+        {"scatter": True, "heads": 4},
+        {"east": 2},
+        [("east", 8.0)],
+        2,
+        {"west": 2},
+    ),
     ("room that is coming goes first", {"scatter": True, "heads": 4}, {}, [("west", 1.0)], 1, {"west": 1}),
     ("one zone: that of its siblings", {"oneZone": True, "heads": 4}, {"west": 1}, [("east", 8.0)], 3, {"west": 3}),
-    ("one zone: where most room is coming", {"oneZone": True, "heads": 4}, {}, [("east", 2.0), ("west", 3.0)], 4,
-     {"west": 4}),
+    (
+        "one zone: where most room is coming",
+        {"oneZone": True, "heads": 4},
+        {},
+        [("east", 2.0), ("west", 3.0)],
+        4,
+        {"west": 4},
+    ),
     ("bound by the user", {"oneZone": True, "field": "east", "heads": 4}, {}, [], 4, {"east": 4}),
     ("not bound", {"heads": 4}, {}, [], 4, {None: 4}),
-]  # fmt: skip
+]
 
 
-@pytest.mark.parametrize(("changes", "placed", "coming", "count", "shares"), [b[1:] for b in BOUND],
-                         ids=[b[0] for b in BOUND])  # fmt: skip
+@pytest.mark.parametrize(
+    ("changes", "placed", "coming", "count", "shares"), [b[1:] for b in BOUND], ids=[b[0] for b in BOUND]
+)
 def test_what_zones_bind_is_sized_by_zone(changes, placed, coming, count, shares):
     """Once room in a zone that could not be used kept a service from a second zone for ever."""
     spec = msgspec.convert(job(**changes), JobSpec)
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -44,12 +44,19 @@
 
 SHAPES = {
     # example: tasks of each step, and what each waits for
-    "01-one-step.yaml": ([1], [[]]), "02-frames.yaml": ([100], [[]]), "03-chunks.yaml": ([20], [[]]),
-    "04-two-parameters.yaml": ([6], [[]]), "05-paired.yaml": ([3], [[]]),
-    "06-chain.yaml": ([1, 8, 1], [[], [0], [1]]), "07-diamond.yaml": ([1, 1, 1, 1], [[], [0], [0], [1, 2]]),
-    "08-host.yaml": ([1], [[]]), "09-zone-and-type.yaml": ([1], [[]]), "10-files-and-environment.yaml": ([1], [[]]),
-    "11-bounded-parameters.yaml": ([1], [[]]), "12-json.json": ([16], [[]]),
-}  # fmt: skip
+    "01-one-step.yaml": ([1], [[]]),
+    "02-frames.yaml": ([100], [[]]),
+    "03-chunks.yaml": ([20], [[]]),
+    "04-two-parameters.yaml": ([6], [[]]),
+    "05-paired.yaml": ([3], [[]]),
+    "06-chain.yaml": ([1, 8, 1], [[], [0], [1]]),
+    "07-diamond.yaml": ([1, 1, 1, 1], [[], [0], [0], [1, 2]]),
+    "08-host.yaml": ([1], [[]]),
+    "09-zone-and-type.yaml": ([1], [[]]),
+    "10-files-and-environment.yaml": ([1], [[]]),
+    "11-bounded-parameters.yaml": ([1], [[]]),
+    "12-json.json": ([16], [[]]),
+}
 
 
 @pytest.mark.parametrize("file", EXAMPLES, ids=[file.name for file in EXAMPLES])
@@ -75,9 +82,13 @@
 
 @pytest.mark.parametrize(
     ("file", "number", "parameters"),
-    [("02-frames.yaml", 41, {"Frame": "42"}), ("03-chunks.yaml", 19, {"Images": "951-1000"}),
-     ("05-paired.yaml", 2, {"Name": "c", "Number": "3"}), ("01-one-step.yaml", 0, {})],
-)  # fmt: skip
+    [
+        ("02-frames.yaml", 41, {"Frame": "42"}),
+        ("03-chunks.yaml", 19, {"Images": "951-1000"}),
+        ("05-paired.yaml", 2, {"Name": "c", "Number": "3"}),
+        ("01-one-step.yaml", 0, {}),
+    ],
+)
 def test_a_tasks_parameters_follow_from_its_number(file, number, parameters):
     job = job_of((ROOT / "examples/tickets" / file).read_bytes(), {})
     assert task_parameters(job.steps[0], number) == parameters
@@ -184,9 +195,14 @@
 
 @pytest.mark.parametrize(
     ("arguments", "word"),
-    [(["{0}", "-p", "X"], "NAME=VALUE"), (["{0}", "-p", "X=1", "-p", "X=2"], "twice"), (["{0}/none"], "can't be read"),
-     (["{0}", "--submitter", "nobody"], "nobody"), (["{0}", "--site", "{0}/none"], "can't be read")],
-)  # fmt: skip
+    [
+        (["{0}", "-p", "X"], "NAME=VALUE"),
+        (["{0}", "-p", "X=1", "-p", "X=2"], "twice"),
+        (["{0}/none"], "can't be read"),
+        (["{0}", "--submitter", "nobody"], "nobody"),
+        (["{0}", "--site", "{0}/none"], "can't be read"),
+    ],
+)
 def test_what_the_command_cannot_do_it_says_in_one_line(arguments, word, capsys):
     example = str(EXAMPLES[0])
     assert main(["ticket", "check", *[one.format(example) for one in arguments]]) == 2
@@ -205,26 +221,41 @@
 )
 ATTRIBUTES = st.fixed_dictionaries(
     {"name": st.sampled_from(["attr.worker.os.family", "attr.meadowcross.zone", "attr.meadowcross.type", "attr.x"])},
-    optional={"anyOf": st.lists(st.sampled_from(["linux", "east", "small", "mars"]), max_size=2),
-              "allOf": st.lists(st.sampled_from(["linux", "east", "large"]), max_size=2)},
-)  # fmt: skip
+    optional={
+        "anyOf": st.lists(st.sampled_from(["linux", "east", "small", "mars"]), max_size=2),
+        "allOf": st.lists(st.sampled_from(["linux", "east", "large"]), max_size=2),
+    },
+)
 STEPS = st.fixed_dictionaries(
     {"name": NAMES, "script": st.sampled_from([{"actions": {"onRun": {"command": "x"}}}, {}, 3])},
     optional={
-        "parameterSpace": st.fixed_dictionaries({"taskParameterDefinitions": st.lists(
-            st.fixed_dictionaries({"name": NAMES, "type": st.sampled_from(["INT", "STRING", "CHUNK[INT]", "x"]),
-                                   "range": RANGES}), max_size=3)}),
+        "parameterSpace": st.fixed_dictionaries(
+            {
+                "taskParameterDefinitions": st.lists(
+                    st.fixed_dictionaries(
+                        {"name": NAMES, "type": st.sampled_from(["INT", "STRING", "CHUNK[INT]", "x"]), "range": RANGES}
+                    ),
+                    max_size=3,
+                )
+            }
+        ),
         "dependencies": st.lists(st.fixed_dictionaries({"dependsOn": NAMES}), max_size=2),
         "hostRequirements": st.fixed_dictionaries(
-            {}, optional={"amounts": st.lists(AMOUNTS, max_size=2), "attributes": st.lists(ATTRIBUTES, max_size=2)}),
+            {}, optional={"amounts": st.lists(AMOUNTS, max_size=2), "attributes": st.lists(ATTRIBUTES, max_size=2)}
+        ),
     },
-)  # fmt: skip
+)
 TEMPLATES = st.fixed_dictionaries(
-    {"specificationVersion": st.just("jobtemplate-2023-09"), "name": NAMES,
-     "steps": st.lists(STEPS, min_size=1, max_size=4)},
-    optional={"extensions": st.lists(st.sampled_from(["TASK_CHUNKING", "X"]), max_size=2),
-              "parameterDefinitions": st.just([{"name": "N", "type": "STRING", "default": "1-5"}])},
-)  # fmt: skip
+    {
+        "specificationVersion": st.just("jobtemplate-2023-09"),
+        "name": NAMES,
+        "steps": st.lists(STEPS, min_size=1, max_size=4),
+    },
+    optional={
+        "extensions": st.lists(st.sampled_from(["TASK_CHUNKING", "X"]), max_size=2),
+        "parameterDefinitions": st.just([{"name": "N", "type": "STRING", "default": "1-5"}]),
+    },
+)
 
 
 @settings(max_examples=LONG or 200, deadline=None, derandomize=not LONG)
