--- a/measure/bounds.py
+++ b/benchmarks/bounds.py
@@ -1,6 +1,6 @@
 """How far a day was from the best that any scheduler could have reached.
 
-`python3 -m measure.bounds LOG FACTS [--json]` reads a day's log (see `measure.day`) and a file of facts (TOML:
+`python3 -m benchmarks.bounds LOG FACTS [--json]` reads a day's log (see `benchmarks.day`) and a file of facts (TOML:
 `machine_types`, `capacity`, `teams`, `targets`, `warmup_s`), and states for each aim what was reached and a bound that
 nobody could pass: every job and its true run times known beforehand, no failures, no fetches, no lost work,
 all capacity rented at the first submission, its boots as quick as they were seen.
@@ -23,7 +23,7 @@
 from statistics import median
 from typing import Any
 
-from measure.day import Day, DayJob, money, paid, read
+from benchmarks.day import Day, DayJob, money, paid, read
 
 STEP_S = 4.0
 ORDER = {"critical": 0, "urgent": 1, "normal": 2, "idle": 3}
@@ -260,7 +260,9 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    options = argparse.ArgumentParser(prog="python3 -m measure.bounds", description="A day against the best possible.")
+    options = argparse.ArgumentParser(
+        prog="python3 -m benchmarks.bounds", description="A day against the best possible."
+    )
     options.add_argument("log", metavar="LOG", help="the nodes' logs of the day, level debug, each line with its time")
     options.add_argument("facts", metavar="FACTS", help="TOML with machine_types, capacity, teams and targets")
     options.add_argument("--json", action="store_true", help="a list of objects instead of a table")
@@ -274,10 +276,12 @@
         with open(options.log, encoding="utf-8", errors="replace") as file:
             day = read(file)
     except (FactsError, OSError) as error:
-        print(f"measure.bounds: {error}", file=sys.stderr)
+        print(f"benchmarks.bounds: {error}", file=sys.stderr)
         return 2
     if not day.jobs:
-        print(f"measure.bounds: {options.log}: no job was accepted there; is it a log at level debug?", file=sys.stderr)
+        print(
+            f"benchmarks.bounds: {options.log}: no job was accepted there; is it a log at level debug?", file=sys.stderr
+        )
         return 2
     spent = money(day, facts.price, facts.cpus)
     lines = lines_of(day, facts, spent)
--- a/measure/cancels.py
+++ b/benchmarks/cancels.py
@@ -1,5 +1,6 @@
-"""What withholding costs: `python3 -m measure.cancels LOG [--json]`. Of each cancel that was stored, how long its user
-waited for the word, from the log of `measure.day` at `info`. Times of different nodes are compared as they stand."""
+"""What withholding costs: `python3 -m benchmarks.cancels LOG [--json]`. Of each cancel that was stored, how long its
+user waited for the answer, from the log of `benchmarks.day` at `info`. Times of different nodes are compared as they
+stand."""
 
 from __future__ import annotations
 
@@ -10,7 +11,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from measure.day import LINE
+from benchmarks.day import LINE
 
 STORED = re.compile(r"job (\S+) cancelled$")
 TOLD = re.compile(r"job (\S+): its user is told of the cancel")
@@ -55,7 +56,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    options = argparse.ArgumentParser(prog="python3 -m measure.cancels", description="How long users waited.")
+    options = argparse.ArgumentParser(prog="python3 -m benchmarks.cancels", description="How long users waited.")
     options.add_argument("log", metavar="LOG", help="the nodes' logs of the day, level info, each line with its time")
     options.add_argument("--json", action="store_true", help="an object instead of lines")
     given = options.parse_args(arguments)
@@ -63,7 +64,7 @@
         with open(given.log, encoding="utf-8", errors="replace") as file:
             found = cancels(file)
     except OSError as error:
-        print(f"measure.cancels: {given.log}: can't be read: {error.strerror}", file=sys.stderr)
+        print(f"benchmarks.cancels: {given.log}: can't be read: {error.strerror}", file=sys.stderr)
         return 2
     print(json.dumps(found) if given.json else "\n".join(f"{name}: {value}" for name, value in found.items()))
     return 0
--- a/measure/cost.py
+++ b/benchmarks/cost.py
@@ -1,6 +1,6 @@
 """What a leader's work costs against the number of machines.
 
-`python3 -m measure.cost [--sizes 50,500] [--json]` builds, for each size and in a process of its own, a
+`python3 -m benchmarks.cost [--sizes 50,500] [--json]` builds, for each size and in a process of its own, a
 leader's term over the project's stand-ins on a fake clock, with the fleet running and jobs waiting, and
 measures the processor time of single pieces of work. The stand-ins' own time is taken off. Figures are
 processor time of this machine, not of a deployment's share: divide by the share.
@@ -53,8 +53,8 @@
 
 def _fill(world: Any, machines: int) -> None:
     """What an earlier leader left in the store, and workers that run it."""
+    from meadowcross.autoscaling.messages import MachineRecord
     from meadowcross.common.types import Address, WallTime
-    from meadowcross.fleet.messages import MachineRecord
     from tests.conftest import job
 
     state = world.state
@@ -123,8 +123,8 @@
     """One row of the table, in the units of HEADINGS."""
     from meadowcross.common.types import NodeName
     from meadowcross.workers.api import WorkerApi
-    from meadowcross.workers.messages import decode_report
-    from meadowcross.workers.visitors import Visitors
+    from meadowcross.workers.heartbeat_tracker import HeartbeatTracker
+    from meadowcross.workers.messages import decode_heartbeat
     from tests.conftest import World, encode, job
 
     world = World()
@@ -152,17 +152,17 @@
     assert term is not None
     for _ in range(100):
         world.clock.advance(0.05)
-        if all(m.confirmed for m in term.roster.machines.values()):
+        if all(m.has_confirmed_token for m in term.worker_registry.machines.values()):
             break
     gc.collect()
     held = resident_mb() - empty
 
-    api = WorkerApi(lambda: term.on_report, lambda: NodeName("n0"), Visitors(world.clock, 4.75))
+    api = WorkerApi(lambda: term.handle_heartbeat, lambda: NodeName("n0"), HeartbeatTracker(world.clock, 4.75))
     workers = list(world.workers.values())
 
     def report(worker: Any) -> float:
         body = encode(worker.report())
-        return meter.of(lambda: api.report(body))
+        return meter.of(lambda: api.handle_heartbeat(body))
 
     for worker in workers:
         report(worker)
@@ -174,15 +174,15 @@
     def settle() -> None:
         """Let all reports, answers and watches come; passes only where they were asked for."""
         for worker in workers:
-            term.on_report(decode_report(encode(worker.report())))
+            term.handle_heartbeat(decode_heartbeat(encode(worker.report())))
         for _ in range(10):
             world.clock.advance(0.05)
 
     # Every pass is asked for by hand from here on: the ticks would add their own.
-    term._tick.stop()
-    term.fleet._tick.stop()
+    term._ticker.stop()
+    term.autoscaler._tick.stop()
     settle()
-    idle = [meter.of(term._pass) for _ in range(ROUNDS)]
+    idle = [meter.of(term._run_pass) for _ in range(ROUNDS)]
     ticks = [meter.of(term._on_tick) for _ in range(ROUNDS)]
     changed: list[float] = []
     passes: dict[int, list[float]] = {1: [], 10: []}
@@ -193,7 +193,7 @@
         for _ in range(ROUNDS // 3):
             settle()
             # No pass until the new job is there: else what waits would take the room.
-            pending, term._pass_set = term._pass_set, True
+            pending, term._is_pass_scheduled = term._is_pass_scheduled, True
             for _ in range(count):
                 worker, key = next(ended)
                 worker.end(key)
@@ -205,11 +205,11 @@
             )
             for _ in range(4):
                 world.clock.advance(0.05)
-            term._pass_set = pending
-            passes[count].append(meter.of(term._pass))
-            assert term.book.jobs[spec["id"]].waiting_count == 0, "not placed"
+            term._is_pass_scheduled = pending
+            passes[count].append(meter.of(term._run_pass))
+            assert term.job_table.jobs[spec["id"]].waiting_count == 0, "not placed"
             settle()
-    fleet_ticks = [meter.of(term.fleet._on_tick) for _ in range(ROUNDS)]
+    fleet_ticks = [meter.of(term.autoscaler._on_tick) for _ in range(ROUNDS)]
 
     before = [_requests(world), _changes(world)]
     rounds, tasks = 5, 10
@@ -257,7 +257,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    options = argparse.ArgumentParser(prog="python3 -m measure.cost", description="A leader's costs against size.")
+    options = argparse.ArgumentParser(prog="python3 -m benchmarks.cost", description="A leader's costs against size.")
     options.add_argument("--sizes", default=",".join(map(str, SIZES)), help="numbers of machines, at least 50 each")
     options.add_argument("--json", action="store_true", help="one object a size instead of a table")
     options.add_argument("--here", action="store_true", help="in this process: the first size only, for profiling")
@@ -269,10 +269,10 @@
     try:
         sizes = [int(size) for size in options.sizes.split(",")]
     except ValueError:
-        print(f"measure.cost: --sizes takes whole numbers, not {options.sizes!r}", file=sys.stderr)
+        print(f"benchmarks.cost: --sizes takes whole numbers, not {options.sizes!r}", file=sys.stderr)
         return 2
     if min(sizes) < 50:
-        print("measure.cost: --sizes are at least 50", file=sys.stderr)
+        print("benchmarks.cost: --sizes are at least 50", file=sys.stderr)
         return 2
     if options.here:
         print(json.dumps(measure(sizes[0])))
@@ -281,7 +281,7 @@
         return 0
     rows = []
     for size in sizes:
-        command = [sys.executable, "-m", "measure.cost", "--here", "--sizes", str(size)]
+        command = [sys.executable, "-m", "benchmarks.cost", "--here", "--sizes", str(size)]
         rows.append(json.loads(subprocess.run(command, check=True, stdout=subprocess.PIPE).stdout))
         if options.json:
             print(json.dumps(rows[-1]), flush=True)
--- a/measure/history.py
+++ b/benchmarks/history.py
@@ -1,6 +1,7 @@
 """The runs of a day as a history, for `meadowcross estimates replay --history`.
 
-`python3 -m measure.history LOG > FILE`: LOG as for `measure.bounds`. One JSON line a run, in the order of their ends.
+`python3 -m benchmarks.history LOG > FILE`: LOG as for `benchmarks.bounds`. One JSON line a run, in the
+order of their ends.
 """
 
 from __future__ import annotations
@@ -11,8 +12,8 @@
 
 import msgspec
 
+from benchmarks.day import Day, read
 from meadowcross.estimates.history import Outcome, Run
-from measure.day import Day, read
 
 OUTCOMES: dict[str, Outcome] = {"done": "done", "stopped": "stopped", "error": "error", "mates_gone": "mates_gone"}
 LEAST_S = 0.01
@@ -39,7 +40,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    options = argparse.ArgumentParser(prog="measure.history", description="The runs of a day as a history.")
+    options = argparse.ArgumentParser(prog="benchmarks.history", description="The runs of a day as a history.")
     options.add_argument("log", metavar="LOG")
     given = options.parse_args(arguments)
     try:
--- a/measure/learning.py
+++ b/benchmarks/learning.py
@@ -1,6 +1,6 @@
 """What learning run times costs a leader: processor time a finished task, bytes a class, imports.
 
-`python3 -m measure.learning [--machines 300] [--seconds 30] [--json]` plays the same busy half minute
+`python3 -m benchmarks.learning [--machines 300] [--seconds 30] [--json]` plays the same busy half minute
 over the project's stand-ins with estimates off (0), learned (1) and used (2). Processor time of
 this machine's core; the stand-ins' share is in all three alike.
 """
@@ -17,7 +17,7 @@
 import msgspec
 from msgspec import Struct, structs
 
-from measure.cost import resident_mb
+from benchmarks.cost import resident_mb
 
 
 class Cost(Struct):
@@ -34,13 +34,13 @@
 
 def play(setting: int, machines: int, seconds: int) -> Cost:
     """Machines full of arrays whose tasks end after 5 to 40 s, jobs coming, users asking."""
-    from meadowcross.common.settings import Operator
+    from meadowcross.common.settings import OperatorSettings
     from meadowcross.estimates import messages as em
     from tests.conftest import World, job
 
     chance = Random(1)
     world = World()
-    world.operator = Operator(learned_estimates=float(setting))
+    world.operator = OperatorSettings(learned_estimates=float(setting))
     world.cloud.at_once = 50
     facts = structs.replace(
         world.settings.facts, state=structs.replace(world.settings.facts.state, rps=1e5, write_rps=1e5)
@@ -91,8 +91,8 @@
         submit(6)
         done += end_some()
         world.pass_time(1.0)
-        for name in chance.sample(sorted(term.book.jobs), min(40, len(term.book.jobs))):
-            term.ends(name)
+        for name in chance.sample(sorted(term.job_table.jobs), min(40, len(term.job_table.jobs))):
+            term.forecast(name)
     took = time.process_time() - began
     stored = {k: v for k, v in world.state.keys.items() if k.startswith(em.PREFIX + "c/")}
     size = sum(len(msgspec.json.encode(item["data"])) for item in stored.values())
@@ -119,7 +119,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    options = argparse.ArgumentParser(prog="measure.learning", description=__doc__.split("\n")[0])
+    options = argparse.ArgumentParser(prog="benchmarks.learning", description=__doc__.split("\n")[0])
     options.add_argument("--machines", type=int, default=300)
     options.add_argument("--seconds", type=int, default=30)
     options.add_argument("--json", action="store_true")
@@ -132,7 +132,7 @@
     for setting in (0, 1, 2):
         # A process each: memory is read off the whole process.
         size = ["--machines", str(given.machines), "--seconds", str(given.seconds)]
-        command = [sys.executable, "-m", "measure.learning", "--one", str(setting), *size]
+        command = [sys.executable, "-m", "benchmarks.learning", "--one", str(setting), *size]
         costs.append(msgspec.json.decode(subprocess.run(command, capture_output=True, check=True).stdout))
     if given.json:
         print(msgspec.json.encode({"import_ms": import_ms(), "costs": costs}).decode())
--- a/measure/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,6 +1,6 @@
-"""How a day came back from a blow: `python3 -m measure.recovery LOG --at SECONDS [--json]`.
+"""How a day came back from a blow: `python3 -m benchmarks.recovery LOG --at SECONDS [--json]`.
 
-Reads a day's log (see `measure.day`) and tells of the time after the blow: the longest span in which no
+Reads a day's log (see `benchmarks.day`) and tells of the time after the blow: the longest span in which no
 task began to run although some waited, how much of what ran before was lost, and how long until nine
 tenths of as many CPUs were in use again.
 """
@@ -12,7 +12,7 @@
 import sys
 from dataclasses import asdict, dataclass
 
-from measure.day import Day, read
+from benchmarks.day import Day, read
 
 STEP_S = 0.5
 AGAIN = 0.9
@@ -92,7 +92,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    options = argparse.ArgumentParser(prog="python3 -m measure.recovery", description="How a day came back.")
+    options = argparse.ArgumentParser(prog="python3 -m benchmarks.recovery", description="How a day came back.")
     options.add_argument("log", metavar="LOG", help="the nodes' logs of the day, level debug, each line with its time")
     options.add_argument("--at", type=float, required=True, metavar="SECONDS", help="when the blow fell")
     options.add_argument("--json", action="store_true", help="an object instead of a line")
@@ -105,10 +105,10 @@
         with open(options.log, encoding="utf-8", errors="replace") as file:
             day = read(file)
     except OSError as error:
-        print(f"measure.recovery: {error}", file=sys.stderr)
+        print(f"benchmarks.recovery: {error}", file=sys.stderr)
         return 2
     if not day.jobs or not 0 <= options.at <= day.ends:
-        print(f"measure.recovery: {options.log}: no job, or no second {options.at:g} in it", file=sys.stderr)
+        print(f"benchmarks.recovery: {options.log}: no job, or no second {options.at:g} in it", file=sys.stderr)
         return 2
     found = recovery(day, options.at)
     if options.json:
--- a/measure/served.py
+++ b/benchmarks/served.py
@@ -1,9 +1,9 @@
-"""What a day served, by class and by team: `python3 -m measure.served REPORT [LOG] [--json]`.
+"""What a day served, by class and by team: `python3 -m benchmarks.served REPORT [LOG] [--json]`.
 
 REPORT is the JSON that the bench writes of a run: under `classes`, by name, `jobs`, `done` and `cancelled`; under
-`teams`, `jobs` and `started`. A share is of the jobs that their users did not cancel; services count once started.
-With LOG (see `measure.day`) it also tells how each class's largest jobs fared, and counts starts thrown away: stopped
-or lost within 30 s, or before they ran, by class and by why. Exit status 1 if any share is less than half.
+`teams`, `jobs` and `started`. A share is of the jobs that their users did not cancel; services count once started. With
+LOG (see `benchmarks.day`) it also tells how each class's largest jobs fared, and counts starts thrown away: stopped or
+lost within 30 s, or before they ran, by class and by why. Exit status 1 if any share is less than half.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Struct
 
-from measure.day import Day, DayJob, read
+from benchmarks.day import Day, DayJob, read
 
 HALF = 0.5
 SOON_S = 30.0
@@ -86,7 +86,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    options = argparse.ArgumentParser(prog="python3 -m measure.served", description="What a day served.")
+    options = argparse.ArgumentParser(prog="python3 -m benchmarks.served", description="What a day served.")
     options.add_argument("report", metavar="REPORT", help="the report of a run (JSON)")
     options.add_argument("log", metavar="LOG", nargs="?", help="the nodes' logs of the day, level debug")
     options.add_argument("--json", action="store_true", help="an object instead of tables")
@@ -101,10 +101,10 @@
             lost = thrown_away(day)
             found.update(largest(day))
     except OSError as error:
-        print(f"measure.served: {error.filename}: can't be read: {error.strerror}", file=sys.stderr)
+        print(f"benchmarks.served: {error.filename}: can't be read: {error.strerror}", file=sys.stderr)
         return 2
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        print(f"measure.served: {given.report}: {error}", file=sys.stderr)
+        print(f"benchmarks.served: {given.report}: {error}", file=sys.stderr)
         return 2
     if given.json:
         print(json.dumps({"served": found, "thrown_away": lost}))
--- a/measure/state.py
+++ b/benchmarks/state.py
@@ -1,4 +1,4 @@
-"""What each role holds and sends, in bytes for each worker, task, job and team: `python3 -m measure.state`.
+"""What each role holds and sends, in bytes for each worker, task, job and team: `python3 -m benchmarks.state`.
 
 Memory is what the interpreter allocates for many of a kind, divided by their number; messages are encoded by the nodes'
 own types. Both are for batch jobs of some hundred tasks and machines with eleven tasks.
@@ -14,34 +14,34 @@
 import msgspec
 from msgspec import Raw
 
+from meadowcross.autoscaling.messages import MachineRecord, machine_key
 from meadowcross.common.settings import Team
 from meadowcross.common.types import (
     Address,
     Attempt,
+    FencingToken,
     Instant,
     JobId,
     MachineId,
     MachineKind,
-    Mark,
     NodeName,
+    Revision,
     TaskId,
-    Token,
     WallTime,
 )
-from meadowcross.fleet.messages import MachineRecord, machine_key
 from meadowcross.jobs import messages as jm
-from meadowcross.jobs.book import Book
+from meadowcross.jobs.job_table import JobTable
 from meadowcross.relay import messages as rm
-from meadowcross.relay.assignment import Assignment, RelayRoom
-from meadowcross.relay.relay import Session
-from meadowcross.replica.picture import Picture
+from meadowcross.relay.assignment import RelayAssignment, RelayCapacity
+from meadowcross.relay.relay import RelayedWorker
+from meadowcross.replication.store_replica import StoreReplica
 from meadowcross.workers import messages as wm
-from meadowcross.workers.roster import Machine, Roster
+from meadowcross.workers.registry import Machine, WorkerRegistry
 
 TASKS_A_WORKER = 11
 TASKS_A_JOB = 200
 MANY = 2_000
-TOKEN = Token(1_234)
+TOKEN = FencingToken(1_234)
 
 
 def spec(number: int, tasks: int = TASKS_A_JOB) -> jm.JobSpec:
@@ -78,11 +78,11 @@
     return jm.JobRecord(spec(number, tasks), WallTime(1.0), 256)
 
 
-def report(machine: int, seq: int, state: wm.TaskState = wm.TaskState.RUNNING) -> wm.Report:
+def report(machine: int, seq: int, state: wm.TaskState = wm.TaskState.RUNNING) -> wm.Heartbeat:
     """Of a worker with its usual tasks."""
     tasks = [wm.TaskReport(f"wk-{machine:06d}/{number}", 1, state) for number in range(TASKS_A_WORKER)]
     name, address = MachineId(f"i-{machine:06d}"), Address(f"10.1.{machine % 250}.7:9000")
-    return wm.Report(name, address, "lightbox", "saskatoon", True, 1, seq, TOKEN, None, tasks)
+    return wm.Heartbeat(name, address, "lightbox", "saskatoon", True, 1, seq, TOKEN, None, tasks)
 
 
 def bytes_each(make: Callable[[int], Any], count: int = MANY) -> float:
@@ -99,8 +99,8 @@
 
 def memory() -> dict[str, float]:
     """Bytes of one of each kind."""
-    roster, book, picture, assignment = Roster(TOKEN), Book(), Picture(), Assignment()
-    assignment.relays = {NodeName("n1"): RelayRoom("east", 10**6)}
+    roster, book, picture, assignment = WorkerRegistry(TOKEN), JobTable(), StoreReplica(), RelayAssignment()
+    assignment.relays = {NodeName("n1"): RelayCapacity("east", 10**6)}
     kind = MachineKind("lightbox", "saskatoon", True)
 
     def worker(number: int) -> Machine:
@@ -112,28 +112,30 @@
         machine.placements[placement.task] = placement
 
     def ended(number: int) -> None:
-        value = jm.encode(jm.EndedRecord(jm.Standing.DONE, TASKS_A_JOB))
-        picture.put(jm.ended_key(JobId(f"wk-{number:06d}")), Raw(value), Mark(number + 2))
+        value = jm.encode(jm.EndedRecord(jm.JobState.DONE, TASKS_A_JOB))
+        picture.put(jm.ended_key(JobId(f"wk-{number:06d}")), Raw(value), Revision(number + 2))
 
-    def session(number: int) -> Session:
-        whole = wm.decode_report(wm.encode(report(number, 1)))
-        return Session(whole, True, 1, Instant(0.0))
+    def session(number: int) -> RelayedWorker:
+        whole = wm.decode_heartbeat(wm.encode(report(number, 1)))
+        return RelayedWorker(whole, True, 1, Instant(0.0))
 
     def decoded(number: int) -> jm.JobRecord:
         return jm.decode_record(jm.encode(record(number)))
 
     found = {
         "a worker in the leader's roster": bytes_each(worker),
-        "an open job of 200 tasks in the leader's book": bytes_each(lambda number: book.add(decoded(number), Mark(1))),
+        "an open job of 200 tasks in the leader's book": bytes_each(
+            lambda number: book.add(decoded(number), Revision(1))
+        ),
     }
-    jobs = [book.add(record(10**6, 10 * MANY), Mark(1))]
+    jobs = [book.add(record(10**6, 10 * MANY), Revision(1))]
     machine = worker(10**6)
     return found | {
         "a placed task in the leader's book": bytes_each(placed),
         "an ended job in a follower's picture": bytes_each(ended, 10 * MANY),
         "a worker's session in a relay (11 tasks)": bytes_each(session),
         "a worker's assignment in the leader": bytes_each(
-            lambda number: assignment.settle(MachineId(f"i-{number:06d}"), NodeName("n1"))
+            lambda number: assignment.assign(MachineId(f"i-{number:06d}"), NodeName("n1"))
         ),
         "a team's settings": bytes_each(lambda number: Team(f"team-{number}", 1.0, 2.0, 0.0, 0.0)),
     }
@@ -142,31 +144,33 @@
 def messages() -> dict[str, int]:
     """Bytes of one of each kind, without HTTP's or netstrings' own."""
     whole = wm.encode(report(1, 5))
-    command = wm.encode(wm.Direct(TOKEN, 1, [wm.Command("start", "wk-000001/7", 1)]))
+    command = wm.encode(wm.DirectCommands(TOKEN, 1, [wm.Command("start", "wk-000001/7", 1)]))
     chunk = msgspec.json.encode([(Attempt(1), MachineId(f"i-{n:06d}")) for n in range(TASKS_A_JOB)])
     machine = MachineRecord("lightbox", "saskatoon", True, WallTime(1.0), Address("10.1.1.7:9000"))
     name = NodeName("paddock-1")
     return {
         "a report with 11 tasks": len(whole),
-        "the answer to a report, no command": len(wm.encode(wm.Response(TOKEN, []))),
+        "the answer to a report, no command": len(wm.encode(wm.HeartbeatResponse(TOKEN, []))),
         "commands with one start": len(command),
         "a renewal, in a batch of 500": len(
             msgspec.json.encode(
-                rm.Renewals(name, TOKEN, [rm.Renewal(MachineId(f"i-{n:06d}"), 1, 80, 90) for n in range(500)])
+                rm.HeartbeatRenewals(
+                    name, TOKEN, [rm.HeartbeatRenewal(MachineId(f"i-{n:06d}"), 1, 80, 90) for n in range(500)]
+                )
             )
         )
         // 500,
-        "a whole report passed on": len(msgspec.json.encode(rm.ReportPassed(7, name, TOKEN, Raw(whole)))),
+        "a whole report passed on": len(msgspec.json.encode(rm.ForwardedHeartbeat(7, name, TOKEN, Raw(whole)))),
         "commands passed on": len(
-            msgspec.json.encode(rm.CommandsPassed(7, TOKEN, Address("10.1.1.7:9000"), Raw(command)))
+            msgspec.json.encode(rm.ForwardedCommands(7, TOKEN, Address("10.1.1.7:9000"), Raw(command)))
         ),
         "a worker's answer passed back": len(
-            msgspec.json.encode(rm.CommandsAnswered(7, rm.Outcome.ANSWERED, 200, Raw(whole)))
+            msgspec.json.encode(rm.CommandsAnswer(7, rm.DeliveryOutcome.ANSWERED, 200, Raw(whole)))
         ),
         "a job's record": len(jm.encode(record(1))),
         "a chunk of 200 placed tasks": len(chunk),
         "a machine's record": len(msgspec.json.encode(machine)) + len(machine_key(MachineId("i-000001"))),
-        "an ended job's record": len(jm.encode(jm.EndedRecord(jm.Standing.DONE, TASKS_A_JOB))),
+        "an ended job's record": len(jm.encode(jm.EndedRecord(jm.JobState.DONE, TASKS_A_JOB))),
     }
 
 
--- a/measure/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,8 +1,8 @@
-"""Every change of leader in a day, from its log: `python3 -m measure.takeover LOG [--json]`.
+"""Every change of leader in a day, from its log: `python3 -m benchmarks.takeover LOG [--json]`.
 
 Times are seconds from the end of the leader before: its last line in the log, or the line that says that it leads no
 more. A leader that still worked when another was elected (cut off, say) counts as ended by the election. The log is
-that of `measure.day`; what a line does not tell is left empty.
+that of `benchmarks.day`; what a line does not tell is left empty.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from dataclasses import asdict, dataclass, fields
 from statistics import median
 
-from measure.day import LINE, read
+from benchmarks.day import LINE, read
 
 LEADS = re.compile(r"leads with token (\d+)")
 OVER = re.compile(r"no longer leads with token (\d+)")
@@ -130,7 +130,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    options = argparse.ArgumentParser(prog="python3 -m measure.takeover", description="Every change of leader.")
+    options = argparse.ArgumentParser(prog="python3 -m benchmarks.takeover", description="Every change of leader.")
     options.add_argument("log", metavar="LOG", help="the nodes' logs of the day, level debug, each line with its time")
     options.add_argument("--json", action="store_true", help="a list of objects instead of a table")
     given = options.parse_args(arguments)
@@ -138,7 +138,7 @@
         with open(given.log, encoding="utf-8", errors="replace") as file:
             found = takeovers(file.readlines())
     except OSError as error:
-        print(f"measure.takeover: {given.log}: can't be read: {error.strerror}", file=sys.stderr)
+        print(f"benchmarks.takeover: {given.log}: can't be read: {error.strerror}", file=sys.stderr)
         return 2
     print(json.dumps([asdict(one) for one in found]) if given.json else table(found))
     return 0
--- a/measure/tickets.py
+++ b/benchmarks/tickets.py
@@ -1,7 +1,8 @@
 """What ticket gateways cost and how they recover, over the project's stand-ins on a fake clock.
 
-`python3 -m measure.tickets [--tickets 1000] [--json]`: three gateways, tickets of three steps each in a chain; once all
-are accepted one gateway is killed. Processor time is of this machine's core; seconds of recovery are the fake clock's.
+`python3 -m benchmarks.tickets [--tickets 1000] [--json]`: three gateways, tickets of three steps each in a chain; once
+all are accepted one gateway is killed. Processor time is of this machine's core; seconds of recovery are the fake
+clock's.
 """
 
 from __future__ import annotations
@@ -33,13 +34,13 @@
 
 
 def measure(count: int) -> Cost:
-    from meadowcross.tickets import records as r
+    from meadowcross.openjd import records as r
     from tests.test_gateway import CHAIN, Farm
 
     farm = Farm(3)
     for gateway in farm.gateways.values():
         gateway.intake._rate = gateway.intake._all._rate = 1e6
-        gateway.intake._all._burst = gateway.intake._all._level = 1e6
+        gateway.intake._all._burst = gateway.intake._all._available = 1e6
     accept = HdrHistogram(1, 60_000_000, 3)
     ids = []
     names = list(farm.gateways)
@@ -88,7 +89,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    options = argparse.ArgumentParser(prog="measure.tickets", description="What ticket gateways cost.")
+    options = argparse.ArgumentParser(prog="benchmarks.tickets", description="What ticket gateways cost.")
     options.add_argument("--tickets", type=int, default=1000)
     options.add_argument("--json", action="store_true")
     given = options.parse_args(arguments)
--- a/scale/__main__.py
+++ b/loadtest/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m scale run PLAN.toml`, `report RUN...`, `copy SITE DIRECTORY`."""
+"""`python3 -m loadtest run PLAN.toml`, `report RUN...`, `copy SITE DIRECTORY`."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 from msgspec.structs import replace
 
-from scale.copies import Growth, write_copy
-from scale.plan import PlanError, load, stretched
+from loadtest.copies import Growth, write_copy
+from loadtest.plan import PlanError, load, stretched
 
 BAR_WIDTH = 30
 
 
 def parser() -> argparse.ArgumentParser:
-    options = argparse.ArgumentParser(prog="python3 -m scale", description="Scale runs with hollow workers.")
+    options = argparse.ArgumentParser(prog="python3 -m loadtest", description="Scale runs with hollow workers.")
     verbs = options.add_subparsers(dest="verb", required=True)
     run = verbs.add_parser("run", help="play a plan and judge it; exit 1 if a rule broke or it was given up")
-    run.add_argument("plan", metavar="PLAN", help="a plan (TOML), as under examples/scale")
+    run.add_argument("plan", metavar="PLAN", help="a plan (TOML), as under examples/loadtest")
     run.add_argument("--out", metavar="DIRECTORY", help="where histories and figures go (scale-runs/NAME-TIME)")
     run.add_argument("--relays", choices=("auto", "always", "never"), help="instead of the plan's")
     run.add_argument("--seed", type=int, metavar="N", help="instead of the plan's")
@@ -72,8 +72,8 @@
     directory = Path(options.out or f"scale-runs/{plan.name}-{time.strftime('%Y%m%dT%H%M%S')}").resolve()
     directory.mkdir(parents=True)
     # Only here: a plan that is refused starts nothing, not even a reactor.
-    from scale.report import with_usage
-    from scale.run import Run, RunError
+    from loadtest.report import with_usage
+    from loadtest.run import Run, RunError
 
     bar = ProgressBar(plan.duration_s, sys.stderr)
     try:
@@ -97,7 +97,7 @@
         growth = Growth(options.name, options.machines, options.jobs, options.nodes)
         print(write_copy(options.site, options.directory, growth))
         return 0
-    from scale.report import report
+    from loadtest.report import report
 
     return report([Path(one) for one in options.runs], options.plot)
 
--- a/scale/child.py
+++ b/loadtest/child.py
@@ -1,4 +1,4 @@
-"""`python3 -m scale.child ROLE NUMBER SETUP`: one process of a run, which ends with it."""
+"""`python3 -m loadtest.child ROLE NUMBER SETUP`: one process of a run, which ends with it."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from twisted.internet import reactor as _reactor
 from twisted.internet.task import LoopingCall
 
+from loadtest import bus
+from loadtest.events import Recorder, UserHistory
+from loadtest.hollow import HollowProcess
+from loadtest.hosts import Host, RealTime, service_host
+from loadtest.plan import Plan
+from loadtest.region import CloudProcess, StateProcess
+from loadtest.submitters import Submitters
 from meadowcross.common.types import Address
-from scale import bus
-from scale.events import Recorder, UserHistory
-from scale.hollow import HollowProcess
-from scale.hosts import Host, RealTime, service_host
-from scale.plan import Plan
-from scale.region import CloudProcess, StateProcess
-from scale.submitters import Submitters
 
 reactor: Any = _reactor
 FLUSH_S = 0.5
--- a/scale/events.py
+++ b/loadtest/events.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Struct
 
-from lab.judge import Judge, Seen, Spec
+from simulation.judge import Judge, Seen, Spec
 
 
 class TaskOn(Struct, tag_field="kind", tag="on"):
--- a/scale/hollow.py
+++ b/loadtest/hollow.py
@@ -7,13 +7,13 @@
 
 from hdrh.histogram import HdrHistogram
 
-from lab.machines import Machine, Work, World
-from lab.scenario import Workers
-from meadowcross.common.http import HttpClient, Reply
+from loadtest import bus
+from loadtest.events import Commanded, LeaseEnded, Recorder, TaskOff, TaskOn, TokenSeen
+from loadtest.hosts import Host, RealTime
+from meadowcross.common.http import ClientResponse, HttpClient
 from meadowcross.common.types import Address
-from scale import bus
-from scale.events import Commanded, LeaseEnded, Recorder, TaskOff, TaskOn, TokenSeen
-from scale.hosts import Host, RealTime
+from simulation.machines import Machine, Work, World
+from simulation.scenario import Workers
 
 OK = 200
 LONGEST_MS = 60_000
@@ -38,7 +38,7 @@
 
     async def call(
         self, method: str, address: Address, path: str, body: bytes | None = None, timeout: float = 2.0
-    ) -> Reply:
+    ) -> ClientResponse:
         traffic, began = self._traffic, self._seconds()
         traffic.reports += 1
         traffic.sent_bytes += len(body or b"")
--- a/scale/plan.py
+++ b/loadtest/plan.py
@@ -9,8 +9,8 @@
 from msgspec import Meta, Struct, field
 from msgspec.structs import replace
 
-from lab.fields import Amount, Count, Name, Seconds, Share, Span
-from lab.scenario import Cloud, State, Team, Type, Workers
+from simulation.fields import Amount, Count, Name, Seconds, Share, Span
+from simulation.scenario import Cloud, State, Team, Type, Workers
 
 MOST_PROCESSES = 100
 SERVICES = 4
--- a/scale/region.py
+++ b/loadtest/region.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from lab.scenario import Cloud, State, Type
-from lab.services import Rentals, Store
+from loadtest import bus
+from loadtest.events import Deleted, LeaderSet, Recorder
+from loadtest.hollow import machine_number
+from loadtest.hosts import Host, worker_address
 from meadowcross.leadership.messages import LEADER_KEY
-from scale import bus
-from scale.events import Deleted, LeaderSet, Recorder
-from scale.hollow import machine_number
-from scale.hosts import Host, worker_address
+from simulation.scenario import Cloud, State, Type
+from simulation.services import Rentals, Store
 
 
 class StateProcess:
--- a/scale/report.py
+++ b/loadtest/report.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from scale.run import Interval
+from loadtest.run import Interval
 
 _decode = msgspec.json.Decoder(Interval).decode
 WARM_UP = 0.25
--- a/scale/run.py
+++ b/loadtest/run.py
@@ -19,11 +19,10 @@
 from twisted.internet import reactor as _reactor
 from twisted.internet.task import LoopingCall
 
-from meadowcross.common.types import Address
-from scale import bus
-from scale.child import Setup
-from scale.events import Killed, Recorder
-from scale.hosts import (
+from loadtest import bus
+from loadtest.child import Setup
+from loadtest.events import Killed, Recorder
+from loadtest.hosts import (
     API_PORT,
     CLOUD_PORT,
     PEER_PORT,
@@ -33,8 +32,9 @@
     free_network,
     service_address,
 )
-from scale.plan import Fault, Plan
-from scale.verdict import sum_up
+from loadtest.plan import Fault, Plan
+from loadtest.verdict import sum_up
+from meadowcross.common.types import Address
 
 reactor: Any = _reactor
 ROOT = Path(__file__).resolve().parent.parent
@@ -239,7 +239,7 @@
 
     def _start_child(self, role: str, number: int) -> None:
         path = str(self._directory / "setup.json")
-        command = [sys.executable, "-m", "scale.child", role, str(number), path]
+        command = [sys.executable, "-m", "loadtest.child", role, str(number), path]
         self._processes[f"{role}{number}"] = Process(f"{role}{number}", command, self._directory)
 
     def _await_services(self) -> None:
--- a/scale/submitters.py
+++ b/loadtest/submitters.py
@@ -6,13 +6,13 @@
 
 from twisted.internet.defer import Deferred
 
-from lab.judge import Spec
-from lab.users import Users
+from loadtest import bus
+from loadtest.events import UserHistory
+from loadtest.hosts import Host
+from loadtest.plan import Load, Plan
 from meadowcross.common.types import Address
-from scale import bus
-from scale.events import UserHistory
-from scale.hosts import Host
-from scale.plan import Load, Plan
+from simulation.judge import Spec
+from simulation.users import Users
 
 UPLOAD_S = 0.2
 """Jobs are with the workers so long before they are submitted."""
--- a/scale/verdict.py
+++ b/loadtest/verdict.py
@@ -11,11 +11,11 @@
 from hdrh.histogram import HdrHistogram
 from msgspec import Struct
 
-from lab.judge import Judge, Seen
-from scale import events as e
-from scale.child import Tally
-from scale.hollow import DIGITS, LONGEST_MS
-from scale.plan import Plan
+from loadtest import events as e
+from loadtest.child import Tally
+from loadtest.hollow import DIGITS, LONGEST_MS
+from loadtest.plan import Plan
+from simulation.judge import Judge, Seen
 
 PERCENTILES = (50.0, 95.0, 99.0)
 _decode_tally = msgspec.json.Decoder(Tally).decode
--- /dev/null
+++ b/meadowcross/autoscaling/catalog.py
@@ -0,0 +1,75 @@
+"""The machine types, kept fresh; also stored, so that a node that starts while the
+cloud is in trouble can still check submissions."""
+
+from __future__ import annotations
+
+from meadowcross.autoscaling import messages as m
+from meadowcross.autoscaling.cloud import CloudClient, CloudError
+from meadowcross.common.clock import Clock, pause
+from meadowcross.common.logging import get_logger
+from meadowcross.common.types import Revision, Seconds
+from meadowcross.store.client import (
+    ConflictError,
+    IndeterminateResultError,
+    RequestRejectedError,
+    StoreClient,
+    StoreUnavailableError,
+)
+from meadowcross.store.messages import Condition, Put, encode_raw
+from meadowcross.store.token_bucket import RequestPriority
+
+log = get_logger("fleet")
+
+REFRESH_INTERVAL_S: Seconds = 45.0
+RETRY_INTERVAL_S: Seconds = 1.0
+
+
+class MachineTypeCatalog:
+    def __init__(self, clock: Clock, cloud: CloudClient, store: StoreClient) -> None:
+        self._clock = clock
+        self._cloud = cloud
+        self._store = store
+        self._machine_types: list[m.MachineType] = []
+        self._is_stored = False
+
+    def machine_types(self) -> list[m.MachineType]:
+        return self._machine_types
+
+    async def run(self) -> None:
+        while True:
+            try:
+                self._machine_types = (await self._cloud.fetch_machine_types()).types
+                if not self._is_stored:
+                    await self._save_to_store()
+                await pause(self._clock, REFRESH_INTERVAL_S)
+            except CloudError as error:
+                log.info("machine types: %s", error)
+                if not self._machine_types:
+                    await self._load_from_store()
+                await pause(self._clock, RETRY_INTERVAL_S if not self._machine_types else 10 * RETRY_INTERVAL_S)
+            except Exception:
+                log.exception("machine types")
+                await pause(self._clock, RETRY_INTERVAL_S)
+
+    async def _load_from_store(self) -> None:
+        try:
+            item = await self._store.get(m.MACHINE_TYPES_KEY)
+            if item is not None:
+                self._machine_types = m.decode_machine_types(item.value).types
+                self._is_stored = True
+        except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
+            log.info("stored machine types: %s", error)
+
+    async def _save_to_store(self) -> None:
+        try:
+            value = encode_raw(m.MachineTypeList(self._machine_types))
+            await self._store.transact(
+                [Condition(m.MACHINE_TYPES_KEY, Revision(0))],
+                [Put(m.MACHINE_TYPES_KEY, value)],
+                RequestPriority.BACKGROUND,
+            )
+            self._is_stored = True
+        except ConflictError:
+            self._is_stored = True
+        except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
+            log.debug("machine types not stored yet: %s", error)
--- a/meadowcross/fleet/messages.py
+++ b/meadowcross/autoscaling/messages.py
@@ -21,19 +21,19 @@
     fetch_gb_per_s: float = field(name="fetchGbPerS", default=1.0)
 
 
-class TypeList(Struct):
+class MachineTypeList(Struct):
     types: list[MachineType] = field(name="builds")
 
 
-class RentalRequest(Struct):
-    request: str = field(name="hire")
+class CreateMachinesRequest(Struct):
+    request_id: str = field(name="hire")
     type: str = field(name="build")
     zone: str = field(name="field")
     spot: bool = field(name="stubble")
     count: int = field(name="howMany")
 
 
-class MachineNames(Struct):
+class MachineIds(Struct):
     machines: list[MachineId] = field(name="stalls")
 
 
@@ -51,9 +51,9 @@
         return MachineKind(self.type, self.zone, self.spot)
 
 
-class MachineList(Struct):
+class MachineListPage(Struct):
     machines: list[ListedMachine] = field(name="stalls")
-    more: bool = field(name="hasNext", default=False)
+    has_more: bool = field(name="hasNext", default=False)
 
 
 class MachineRecord(Struct):
@@ -62,22 +62,22 @@
     type: str = field(name="b")
     zone: str = field(name="f")
     spot: bool = field(name="s")
-    rented: WallTime = field(name="t")
+    created_at: WallTime = field(name="t")
     addr: Address | None = field(name="a", default=None)
 
 
-MACHINES = "w/"
-TYPES_KEY = "types"
-MAX_DELETE = 100
-MAX_RENT = 50
-LIST_LIMIT = 500
+MACHINE_KEY_PREFIX = "w/"
+MACHINE_TYPES_KEY = "types"
+MAX_MACHINES_PER_DELETION = 100
+MAX_MACHINES_PER_CREATION = 50
+LIST_PAGE_LIMIT = 500
 
 encode = msgspec.json.Encoder().encode
-decode_types = msgspec.json.Decoder(TypeList).decode
-decode_names = msgspec.json.Decoder(MachineNames).decode
-decode_list = msgspec.json.Decoder(MachineList).decode
-decode_record = msgspec.json.Decoder(MachineRecord).decode
+decode_machine_types = msgspec.json.Decoder(MachineTypeList).decode
+decode_machine_ids = msgspec.json.Decoder(MachineIds).decode
+decode_machine_list = msgspec.json.Decoder(MachineListPage).decode
+decode_machine_record = msgspec.json.Decoder(MachineRecord).decode
 
 
 def machine_key(machine: MachineId) -> str:
-    return MACHINES + machine
+    return MACHINE_KEY_PREFIX + machine
--- a/meadowcross/fleet/silence.py
+++ b/meadowcross/autoscaling/silence_timeouts.py
@@ -12,25 +12,29 @@
 
 from meadowcross.common.types import Seconds
 
-FEW = 2
-WHOLE_ZONE = 0.9
+MAX_INDIVIDUAL_FAILURES = 2
+ZONE_OUTAGE_SHARE = 0.9
 """Some machines of a zone that is cut off are still counted as heard, as they spoke last."""
-DOUBTFUL_TIMES = 2.0
+UNCERTAIN_TIMEOUT_FACTOR = 2.0
 """With most silent, though not whole zones, it may still be our own slowness: so much longer is waited."""
 
 
-def patience(machines: Iterable[tuple[str, bool]], silent_s: Seconds, told_s: Seconds) -> dict[str, Seconds]:
+def silence_timeout_by_zone(
+    machines: Iterable[tuple[str, bool]], silent_s: Seconds, cloud_list_s: Seconds
+) -> dict[str, Seconds]:
     """By zone, the silence after which a machine is given up; `machines` are those that were heard of
     at all, as zone and whether silent now. `told_s`: by then the cloud's list must have told which are dead."""
-    known: Counter[str] = Counter()
-    quiet: Counter[str] = Counter()
-    for zone, silent in machines:
-        known[zone] += 1
-        quiet[zone] += silent
-    all_quiet = sum(quiet.values())
-    if all_quiet <= FEW or all_quiet * 2 <= sum(known.values()):
-        return dict.fromkeys(known, silent_s)
+    known_by_zone: Counter[str] = Counter()
+    silent_by_zone: Counter[str] = Counter()
+    for zone, is_silent in machines:
+        known_by_zone[zone] += 1
+        silent_by_zone[zone] += is_silent
+    silent_count = sum(silent_by_zone.values())
+    if silent_count <= MAX_INDIVIDUAL_FAILURES or silent_count * 2 <= sum(known_by_zone.values()):
+        return dict.fromkeys(known_by_zone, silent_s)
     return {
-        zone: told_s if quiet[zone] >= WHOLE_ZONE * count else min(told_s, DOUBTFUL_TIMES * silent_s)
-        for zone, count in known.items()
+        zone: cloud_list_s
+        if silent_by_zone[zone] >= ZONE_OUTAGE_SHARE * count
+        else min(cloud_list_s, UNCERTAIN_TIMEOUT_FACTOR * silent_s)
+        for zone, count in known_by_zone.items()
     }
--- a/meadowcross/cli.py
+++ b/meadowcross/cli.py
@@ -13,7 +13,7 @@
 Command = Callable[[argparse.Namespace], int]
 
 
-class Parser(argparse.ArgumentParser):
+class OneLineErrorParser(argparse.ArgumentParser):
     """Says what is wrong in one line; the usage is there on request."""
 
     def error(self, message: str) -> NoReturn:
@@ -21,19 +21,21 @@
         raise SystemExit(2)
 
 
-def parser() -> Parser:
-    options = Parser(prog="meadowcross", description="A cluster scheduler.")
+def build_parser() -> OneLineErrorParser:
+    options = OneLineErrorParser(prog="meadowcross", description="A cluster scheduler.")
     options.add_argument("--version", action="version", version=f"meadowcross {meadowcross.__version__}")
     commands = options.add_subparsers(metavar="COMMAND", required=True)
     run = commands.add_parser("run", help="run a controller node; the options of run.py", add_help=False)
     run.set_defaults(act=_run)
     # Only the command's own options: what it needs is imported when it is carried out.
     from meadowcross.estimates import cli as estimates
+    from meadowcross.openjd import cli as tickets
     from meadowcross.snapshots import cli as snapshots
-    from meadowcross.tickets import cli as tickets
 
     estimates.add(commands.add_parser("estimates", help="learned run times: replay, show, reset"))
-    snapshots.add(commands.add_parser("snapshot", help="snapshots of the state service: list, verify, restore"))
+    snapshots.add_subcommands(
+        commands.add_parser("snapshot", help="snapshots of the state service: list, verify, restore")
+    )
     tickets.add(commands.add_parser("ticket", help="render-farm job tickets: check, explain, submit, status, cancel"))
     tickets.add_keys(commands.add_parser("keys", help="a site's own authority: init, issue, list, revoke"))
     tickets.add_service(commands.add_parser("tickets", help="the ticket gateway: serve"))
@@ -41,23 +43,23 @@
 
 
 def _run(options: argparse.Namespace) -> int:
-    from meadowcross import app
+    from meadowcross.controller import controller
 
-    return app.main(options.rest, "meadowcross run")
+    return controller.main(options.rest, "meadowcross run")
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Exit status: 0, or 2 with one line on standard error that says what is wrong."""
-    given = list(sys.argv[1:] if arguments is None else arguments)
-    options, rest = parser().parse_known_args(given)
-    act: Command = options.act
-    if act is _run:
-        options.rest = given[given.index("run") + 1 :]
+    argv = list(sys.argv[1:] if arguments is None else arguments)
+    options, rest = build_parser().parse_known_args(argv)
+    command: Command = options.act
+    if command is _run:
+        options.rest = argv[argv.index("run") + 1 :]
     elif rest:
         print(f"meadowcross: unknown arguments: {' '.join(rest)}", file=sys.stderr)
         return 2
     try:
-        return act(options)
+        return command(options)
     except BrokenPipeError:
         # Whoever read our output has seen enough; nothing more is written, at exit neither.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
--- a/meadowcross/common/logging.py
+++ b/meadowcross/common/logging.py
@@ -9,15 +9,15 @@
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
-def set_up(node: str) -> None:
+def configure_logging(node_name: str) -> None:
     """Send everything to standard error at the level that LOG_LEVEL names."""
     level = LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(logging.Formatter(f"%(levelname).1s {node} %(name)s: %(message)s"))
+    handler.setFormatter(logging.Formatter(f"%(levelname).1s {node_name} %(name)s: %(message)s"))
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
 
 
-def logger(slice_name: str) -> logging.Logger:
-    return logging.getLogger(slice_name)
+def get_logger(component: str) -> logging.Logger:
+    return logging.getLogger(component)
--- a/meadowcross/common/once.py
+++ b/meadowcross/common/reactor_runner.py
@@ -11,7 +11,7 @@
 T = TypeVar("T")
 
 
-def run_now(work: Coroutine[Any, Any, T]) -> T:
+def run_until_complete(work: Coroutine[Any, Any, T]) -> T:
     """The result of the coroutine; raises what it raised. Once in a process: a reactor does not start again."""
     from twisted.internet import reactor
 
--- a/meadowcross/common/settings.py
+++ b/meadowcross/common/settings.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-DEFAULT_OPERATOR_FILE = "/etc/meadowcross/operator.xml"
+DEFAULT_OPERATOR_SETTINGS_PATH = "/etc/meadowcross/operator.xml"
 
 _Positive = Annotated[float, Meta(gt=0)]
 _NotNegative = Annotated[float, Meta(ge=0)]
@@ -105,16 +105,16 @@
     peers: list[Peer] = []
 
 
-STORED_FORMAT = 1
+STORED_FORMAT_VERSION = 1
 """Of what is kept in the state service; a node does not use a picture or hints of another."""
 
 
-def digest(settings: Settings, operator: Operator) -> str:
+def settings_digest(settings: Settings, operator: OperatorSettings) -> str:
     """Tells whether another node decides by the same facts, settings and stored formats."""
     # Without the relays, which change nothing of that: nodes of the version before don't know them.
-    decides = {name: value for name, value in msgspec.structs.asdict(operator).items() if name != "relays"}
-    said = msgspec.json.encode([STORED_FORMAT, settings.facts, decides])
-    return hashlib.sha256(said).hexdigest()[:16]
+    compared_settings = {name: value for name, value in msgspec.structs.asdict(operator).items() if name != "relays"}
+    encoded = msgspec.json.encode([STORED_FORMAT_VERSION, settings.facts, compared_settings])
+    return hashlib.sha256(encoded).hexdigest()[:16]
 
 
 def load_settings(path: str) -> Settings:
@@ -136,22 +136,22 @@
     NEVER = "never"
 
 
-SOCKETS_ALONE = 0.43
+DIRECT_WORKERS_PER_SOCKET = 0.43
 """Of a leader's sockets, the workers that it serves by itself: each takes one for its reports and one for commands."""
-SOCKETS_RELAYED = 0.75
+RELAYED_WORKERS_PER_SOCKET = 0.75
 """Of a relay's, which keeps no connection for commands; some are for those that come by, users and peers."""
-SOCKETS_SERVED = 0.85
+INBOUND_SOCKET_SHARE = 0.85
 """Of any node's, those for whoever connects to it; the others are for the state service, the cloud and commands."""
-UNBOUNDED_WORKERS = 1_000_000
+UNLIMITED_SOCKETS = 1_000_000
 
 
-def workers_served(settings: Settings, share: float) -> int:
+def socket_allowance(settings: Settings, share: float) -> int:
     """How many workers a node's sockets allow."""
     limits = settings.facts.machine_limits
-    return int(share * limits.fd_limit) if limits is not None else UNBOUNDED_WORKERS
+    return int(share * limits.fd_limit) if limits is not None else UNLIMITED_SOCKETS
 
 
-class Bound(NamedTuple):
+class SettingBounds(NamedTuple):
     """Unit and bounds of one operator setting, for messages and documentation."""
 
     unit: str
@@ -161,7 +161,7 @@
     whole: bool = False
 
 
-class Operator(Struct, frozen=True):
+class OperatorSettings(Struct, frozen=True):
     """Operators' own settings. Defaults are DESIGN's, or ours where it is silent."""
 
     alpha: float = 0.5
@@ -193,31 +193,35 @@
     relays: RelayMode = RelayMode.AUTO
 
 
-BOUNDS = {
-    "alpha": Bound("weight", 0, 1),
-    "beta": Bound("weight", 0, 1),
-    "gamma": Bound("weight", 0, 1000, True),
-    "delta": Bound("weight", 0, 1000, True),
-    "cost_same_machine": Bound("units", 0, 1000),
-    "cost_same_zone": Bound("units", 0, 1000),
-    "cost_across_zones": Bound("units", 0, 1000),
-    "move_period_s": Bound("seconds", 0.5, 3600),
-    "move_usage_percent": Bound("percent", 0, 100),
-    "move_lead_points": Bound("points", 0, 1000),
-    "move_age_s": Bound("seconds", 0, 86400),
-    "hold_s": Bound("seconds", 0.5, 60),
-    "idle_keep_boots": Bound("boot times", 0, 1000),
-    "ready_keep_s": Bound("seconds; where no aim is a deadline", 0, 86400),
-    "dear_multiple": Bound("times the cheapest price of a CPU", 1, 1000),
-    "silent_s": Bound("seconds", 2, 600),
-    "drain_after_s": Bound("seconds", 0, 86400),
-    "spare_percent": Bound("percent", 0, 1000),
-    "learned_estimates": Bound("0: off, 1: learned and told, 2: used as well; a whole number", 0, 2, whole=True),
-    "warm_standby": Bound("0: off, 1: follows, 2: ends a dead leader's hold as well; a whole number", 0, 2, whole=True),
-    "lost_wait_s": Bound("seconds; 0: for ever", 0, 86400),
-    "snapshot_every_s": Bound("seconds", 1, 86400),
-    "snapshot_keep": Bound("full snapshots; a whole number", 1, 1000, whole=True),
-    "snapshot_keep_h": Bound("hours", 0.01, 87600),
+SETTING_BOUNDS = {
+    "alpha": SettingBounds("weight", 0, 1),
+    "beta": SettingBounds("weight", 0, 1),
+    "gamma": SettingBounds("weight", 0, 1000, True),
+    "delta": SettingBounds("weight", 0, 1000, True),
+    "cost_same_machine": SettingBounds("units", 0, 1000),
+    "cost_same_zone": SettingBounds("units", 0, 1000),
+    "cost_across_zones": SettingBounds("units", 0, 1000),
+    "move_period_s": SettingBounds("seconds", 0.5, 3600),
+    "move_usage_percent": SettingBounds("percent", 0, 100),
+    "move_lead_points": SettingBounds("points", 0, 1000),
+    "move_age_s": SettingBounds("seconds", 0, 86400),
+    "hold_s": SettingBounds("seconds", 0.5, 60),
+    "idle_keep_boots": SettingBounds("boot times", 0, 1000),
+    "ready_keep_s": SettingBounds("seconds; where no aim is a deadline", 0, 86400),
+    "dear_multiple": SettingBounds("times the cheapest price of a CPU", 1, 1000),
+    "silent_s": SettingBounds("seconds", 2, 600),
+    "drain_after_s": SettingBounds("seconds", 0, 86400),
+    "spare_percent": SettingBounds("percent", 0, 1000),
+    "learned_estimates": SettingBounds(
+        "0: off, 1: learned and told, 2: used as well; a whole number", 0, 2, whole=True
+    ),
+    "warm_standby": SettingBounds(
+        "0: off, 1: follows, 2: ends a dead leader's hold as well; a whole number", 0, 2, whole=True
+    ),
+    "lost_wait_s": SettingBounds("seconds; 0: for ever", 0, 86400),
+    "snapshot_every_s": SettingBounds("seconds", 1, 86400),
+    "snapshot_keep": SettingBounds("full snapshots; a whole number", 1, 1000, whole=True),
+    "snapshot_keep_h": SettingBounds("hours", 0.01, 87600),
 }
 
 
@@ -242,50 +246,52 @@
     return root
 
 
-def plain_values(where: str, element: Any, known: Collection[str], lists: Collection[str] = ()) -> dict[str, Any]:
+def read_plain_elements(
+    location: str, element: Any, known_names: Collection[str], list_names: Collection[str] = ()
+) -> dict[str, Any]:
     """The texts of an element's plain children, under their names with underscores; those in `lists` are words
     apart. Raises SettingsError for what is unknown, nested, or given twice."""
     values: dict[str, Any] = {}
-    for one in element:
-        name = one.tag.replace("-", "_")
-        if name not in known or len(one) or one.attrib:
-            raise SettingsError(f"{where}: element <{one.tag}>: unknown, or not a plain value")
+    for child in element:
+        name = child.tag.replace("-", "_")
+        if name not in known_names or len(child) or child.attrib:
+            raise SettingsError(f"{location}: element <{child.tag}>: unknown, or not a plain value")
         if name in values:
-            raise SettingsError(f"{where}: element <{one.tag}>: given twice")
-        text = (one.text or "").strip()
-        values[name] = text.split() if name in lists else text
+            raise SettingsError(f"{location}: element <{child.tag}>: given twice")
+        text = (child.text or "").strip()
+        values[name] = text.split() if name in list_names else text
     return values
 
 
-def load_operator(path: str) -> Operator:
+def load_operator_settings(path: str) -> OperatorSettings:
     """Read the XML file; refuse what is unknown, out of bounds or declares entities."""
     root = read_xml(path, "meadowcross")
     values: dict[str, float] = {}
-    directory = ""
+    snapshot_directory = ""
     relays = RelayMode.AUTO
-    for name, text in plain_values(path, root, {*BOUNDS, "snapshot_directory", "relays"}).items():
+    for name, text in read_plain_elements(path, root, {*SETTING_BOUNDS, "snapshot_directory", "relays"}).items():
         if name == "snapshot_directory":
             if not os.path.isabs(text):
                 raise SettingsError(f"{path}: element <snapshot-directory>: expected an absolute path")
-            directory = text
+            snapshot_directory = text
             continue
         if name == "relays":
             if text not in {mode.value for mode in RelayMode}:
                 raise SettingsError(f"{path}: element <relays>: expected auto, always or never")
             relays = RelayMode(text)
             continue
-        bound = BOUNDS[name]
+        bound = SETTING_BOUNDS[name]
         tag = name.replace("_", "-")
         expected = f"{bound.unit} {'above' if bound.low_excluded else 'from'} {bound.low:g} to {bound.high:g}"
         try:
             value = float(text)
         except ValueError:
             raise SettingsError(f"{path}: element <{tag}>: expected {expected}") from None
-        fits = bound.low <= value <= bound.high and not (bound.low_excluded and value == bound.low)
-        if not fits or (bound.whole and value != int(value)):
+        is_in_bounds = bound.low <= value <= bound.high and not (bound.low_excluded and value == bound.low)
+        if not is_in_bounds or (bound.whole and value != int(value)):
             raise SettingsError(f"{path}: element <{tag}>: expected {expected}")
         values[name] = value
-    operator = Operator(**values, snapshot_directory=directory, relays=relays)
+    operator = OperatorSettings(**values, snapshot_directory=snapshot_directory, relays=relays)
     if abs(operator.alpha + operator.beta - 1.0) > 1e-9:
         raise SettingsError(f"{path}: elements <alpha> and <beta>: expected to sum to 1")
     return operator
--- a/meadowcross/common/types.py
+++ b/meadowcross/common/types.py
@@ -10,12 +10,12 @@
 NodeName = NewType("NodeName", str)
 Address = NewType("Address", str)
 """host:port, as the settings and the machine list write it."""
-Token = NewType("Token", int)
+FencingToken = NewType("FencingToken", int)
 """Who may give commands: the era, and the revision at which the leader key was created in it."""
 Attempt = NewType("Attempt", int)
-Mark = NewType("Mark", int)
+Revision = NewType("Revision", int)
 """Revision of a stored key's last change; 0 where the key does not exist."""
-HoldId = NewType("HoldId", int)
+LeaseId = NewType("LeaseId", int)
 Seconds = float
 Instant = NewType("Instant", float)
 """Seconds on this process's clock."""
@@ -28,17 +28,17 @@
 token is the revision alone, as it was before there were eras."""
 
 
-def token_of(era: int, mark: Mark) -> Token:
-    return Token((era << REVISION_BITS) + mark)
+def compose_token(store_epoch: int, revision: Revision) -> FencingToken:
+    return FencingToken((store_epoch << REVISION_BITS) + revision)
 
 
-def era_of(token: Token) -> int:
+def store_epoch_of(token: FencingToken) -> int:
     return token >> REVISION_BITS
 
 
-def mark_of(token: Token) -> Mark:
+def revision_of(token: FencingToken) -> Revision:
     """The version of the leader's key."""
-    return Mark(token & ((1 << REVISION_BITS) - 1))
+    return Revision(token & ((1 << REVISION_BITS) - 1))
 
 
 class TaskId(NamedTuple):
@@ -58,11 +58,11 @@
         return TaskId(JobId(job), int(number))
 
 
-class ReportVersion(NamedTuple):
+class HeartbeatVersion(NamedTuple):
     """Orders the reports of one worker: the larger is the newer."""
 
-    session: int
-    seq: int
+    incarnation: int
+    sequence: int
 
 
 class MachineKind(NamedTuple):
--- a/meadowcross/estimates/cli.py
+++ b/meadowcross/estimates/cli.py
@@ -102,7 +102,7 @@
 def _reset(options: argparse.Namespace) -> int:
     from meadowcross.estimates import messages as m
     from meadowcross.store import messages as sm
-    from meadowcross.store.budget import Urgency
+    from meadowcross.store.token_bucket import RequestPriority
 
     key = None
     if not options.all:
@@ -113,7 +113,9 @@
         found = [item for item in await _items(store) if key in (None, item.key)]
         for item in found:
             # Conditional, so that a record written this moment is not dropped unseen.
-            await store.transact([sm.Condition(item.key, item.mark)], [sm.Drop(item.key)], Urgency.LATER)
+            await store.transact(
+                [sm.Condition(item.key, item.mod_revision)], [sm.Delete(item.key)], RequestPriority.BACKGROUND
+            )
             print(f"dropped {item.key}")
         if not found:
             print("nothing is stored of it")
@@ -124,13 +126,13 @@
 async def _items(store: StoreClient) -> list[Item]:
     from meadowcross.estimates import messages as m
     from meadowcross.estimates.keeper import PAGE
-    from meadowcross.store.budget import Urgency
+    from meadowcross.store.token_bucket import RequestPriority
 
-    items, _ = await store.list(m.PREFIX, Urgency.LATER, PAGE)
+    items, _ = await store.list_items(m.PREFIX, RequestPriority.BACKGROUND, PAGE)
     return items
 
 
 def _with_store(config: str, work: Any) -> int:
-    from meadowcross.store.by_hand import with_store
+    from meadowcross.store.command_line import run_with_store
 
-    return with_store("meadowcross estimates", config, work)
+    return run_with_store("meadowcross estimates", config, work)
--- a/meadowcross/estimates/keeper.py
+++ b/meadowcross/estimates/keeper.py
@@ -16,16 +16,16 @@
 from twisted.internet.task import LoopingCall
 
 from meadowcross.common.clock import Clock, pause
-from meadowcross.common.logging import logger
-from meadowcross.common.types import Mark, Seconds
+from meadowcross.common.logging import get_logger
+from meadowcross.common.types import Revision, Seconds
 from meadowcross.estimates import messages as m
 from meadowcross.estimates.learned import Learned
 from meadowcross.store import messages as sm
-from meadowcross.store.budget import Urgency
-from meadowcross.store.client import Refused, StoreClient, Unavailable, Unknown
-from meadowcross.store.commit import Built, Committer
+from meadowcross.store.client import IndeterminateResultError, RequestRejectedError, StoreClient, StoreUnavailableError
+from meadowcross.store.group_commit import GroupCommitter, Write
+from meadowcross.store.token_bucket import RequestPriority
 
-log = logger("estimates")
+log = get_logger("estimates")
 
 WRITE_S: Seconds = 1.0
 """One entry in so long, at most."""
@@ -54,8 +54,8 @@
         self._leader = leader
         self._learned = learned
         self._reread_leader = reread_leader
-        self._committer = Committer(clock, store, leader, self._reread)
-        self._marks: dict[str, Mark] = {}
+        self._committer = GroupCommitter(clock, store, leader, self._reread)
+        self._marks: dict[str, Revision] = {}
         self._written_at: dict[str, float] = {}
         self._writing: str | None = None
         self._checked_at = clock.seconds()
@@ -87,8 +87,13 @@
         wait = LOAD_WAIT_S
         while not self._stopped:
             try:
-                items, _ = await self._store.list(m.PREFIX, Urgency.LATER, PAGE)
-            except (Unavailable, Unknown, Refused, msgspec.DecodeError) as error:
+                items, _ = await self._store.list_items(m.PREFIX, RequestPriority.BACKGROUND, PAGE)
+            except (
+                StoreUnavailableError,
+                IndeterminateResultError,
+                RequestRejectedError,
+                msgspec.DecodeError,
+            ) as error:
                 log.debug("loading estimates waits: %s", error)
                 await pause(self._clock, wait)
                 wait = min(LOAD_WAIT_MOST_S, 2 * wait)
@@ -96,7 +101,7 @@
             if self._stopped:
                 return
             for item in items:
-                self._marks[item.key] = item.mark
+                self._marks[item.key] = item.mod_revision
                 self._learned.offer(item.key, item.value)
             self._learned.bound()
             self.loaded = True
@@ -139,42 +144,42 @@
         self._writing = key
         self._written_at[name] = now
 
-        def build() -> Built | None:
+        def build() -> Write | None:
             counted = self._learned.unsaved.pop(name, 0.0)
-            value = self._learned.record(name, self._store.max_value)
+            value = self._learned.record(name, self._store.max_value_bytes)
             if value is None:
                 self._writing = None
                 return None
 
-            def done(mark: Mark) -> None:
+            def done(mark: Revision) -> None:
                 self._marks[key] = mark
                 self._writing = None
                 self.writes += 1
                 log.debug("estimates of %.60s stored, %.1f ends, %d bytes", name, counted, len(value))
 
-            return Built([self._condition(key)], [sm.Put(key, msgspec.Raw(value))], done)
+            return Write([self._condition(key)], [sm.Put(key, msgspec.Raw(value))], done)
 
-        self._committer.add(("estimate", key), build, False)
+        self._committer.enqueue(("estimate", key), build, False)
 
     def _drop(self, key: str) -> None:
         if key not in self._marks:
             return
         self._writing = key
 
-        def done(mark: Mark) -> None:
+        def done(mark: Revision) -> None:
             self._marks.pop(key, None)
             self._writing = None
 
-        def build() -> Built | None:
+        def build() -> Write | None:
             if key not in self._marks:
                 self._writing = None
                 return None
-            return Built([self._condition(key)], [sm.Drop(key)], done)
+            return Write([self._condition(key)], [sm.Delete(key)], done)
 
-        self._committer.add(("estimate", key), build, False)
+        self._committer.enqueue(("estimate", key), build, False)
 
     def _condition(self, key: str) -> sm.Condition:
-        return sm.Condition(key, self._marks.get(key, Mark(0)))
+        return sm.Condition(key, self._marks.get(key, Revision(0)))
 
     async def _reread(self, keys: list[str]) -> None:
         """After a conflict or a lost answer: what do the keys hold now? What is there may be our
@@ -183,11 +188,11 @@
             if key == self._leader.key:
                 await self._reread_leader([key])
                 continue
-            item = await self._store.get(key, Urgency.LATER)
+            item = await self._store.get(key, RequestPriority.BACKGROUND)
             if self._stopped:
                 return
             if item is not None:
-                self._marks[key] = item.mark
+                self._marks[key] = item.mod_revision
             elif self._marks.pop(key, None) is not None:
                 self._learned.reset(key)
 
@@ -196,10 +201,12 @@
         self._checked_at = self._clock.seconds()
         try:
             keys = list(self._marks)[: self._store.max_conditions]
-            changed = await self._store.compare([sm.Condition(key, self._marks[key]) for key in keys], Urgency.LATER)
+            changed = await self._store.find_changed_keys(
+                [sm.Condition(key, self._marks[key]) for key in keys], RequestPriority.BACKGROUND
+            )
             if changed and self._writing is None and not self._stopped:
                 await self._reread([key for key in changed if key in self._marks])
-        except (Unavailable, Unknown, Refused) as error:
+        except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
             log.debug("checking estimates: %s", error)
         finally:
             self._checking = False
--- a/meadowcross/estimates/learned.py
+++ b/meadowcross/estimates/learned.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from meadowcross.common.clock import Clock
-from meadowcross.common.logging import logger
+from meadowcross.common.logging import get_logger
 from meadowcross.common.types import JobId, MachineId, Seconds
 from meadowcross.estimates import messages as m
 from meadowcross.estimates.curve import (
@@ -44,7 +44,7 @@
     from meadowcross.estimates.sketch import Decayed
     from meadowcross.estimates.track import Track
 
-log_to = logger("estimates")
+log_to = get_logger("estimates")
 
 GUESS_SIGMA = 0.8
 """An owner's guess alone: four in five runs between a third and nearly three times of it."""
@@ -240,7 +240,7 @@
         return kept.middle if q == TYPICAL else kept.curve.at(q)
 
     def left(self, spec: JobSpec, ran: Seconds, q: float = TYPICAL, machine_type: str = "") -> Seconds:
-        return inf if spec.kind is jm.Kind.SERVICE else self._kept(spec, machine_type).left(ran, q)
+        return inf if spec.kind is jm.JobKind.SERVICE else self._kept(spec, machine_type).left(ran, q)
 
     def curve_of(self, spec: JobSpec) -> Curve:
         """A job's curve, at most some seconds old."""
--- a/meadowcross/estimates/runs.py
+++ b/meadowcross/estimates/runs.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from meadowcross.common.types import JobId, MachineId, Seconds
-from meadowcross.jobs.messages import JobSpec, Kind
+from meadowcross.jobs.messages import JobKind, JobSpec
 
 TYPICAL = 0.5
 """For the order and for what a machine is paid for: as often too long as too short."""
@@ -51,7 +51,7 @@
         return spec.estimate_s * self.ratios.get(spec.job_class, 1.0)
 
     def left(self, spec: JobSpec, ran: Seconds, q: float = TYPICAL, machine_type: str = "") -> Seconds:
-        return inf if spec.kind is Kind.SERVICE else self.run(spec) - ran
+        return inf if spec.kind is JobKind.SERVICE else self.run(spec) - ran
 
     def done(self, spec: JobSpec, ran: Seconds, machine: MachineId, machine_type: str) -> None:
         if spec.estimate_s > 0:
--- a/meadowcross/estimates/samples.py
+++ b/meadowcross/estimates/samples.py
@@ -7,7 +7,7 @@
 
 from meadowcross.common.types import Instant, MachineId, Seconds
 from meadowcross.estimates.runs import Runs
-from meadowcross.jobs.book import Book, Job, Phase, Placement
+from meadowcross.jobs.job_table import Job, JobTable, Placement, PlacementPhase
 from meadowcross.jobs.messages import JobSpec
 
 
@@ -16,16 +16,20 @@
     0 before it runs."""
     if placement.running_at is None:
         return 0.0
-    until = now if placement.stop_at is None else max(placement.stop_at, placement.running_at)
-    return max(0.0, until - placement.running_at) + job.carried.get(placement.task.number, 0.0)
+    until = now if placement.stop_requested_at is None else max(placement.stop_requested_at, placement.running_at)
+    return max(0.0, until - placement.running_at) + job.checkpointed_progress.get(placement.task.number, 0.0)
 
 
 def whole(job: Job, placement: Placement) -> bool:
     """Whether all of the task's run was seen: not what an earlier leader started, and not what
     goes on from progress that only an earlier leader saw."""
-    if placement.inherited:
+    if placement.is_inherited:
         return False
-    return placement.attempt == 1 or job.spec.checkpoint_s <= 0 or placement.task.number in job.carried
+    return (
+        placement.attempt == 1
+        or job.spec.checkpoint_interval_s <= 0
+        or placement.task.number in job.checkpointed_progress
+    )
 
 
 class Where(NamedTuple):
@@ -71,11 +75,11 @@
         for learner in self._learners:
             learner.cut(job.spec, lasted)
         spec = job.spec
-        if spec.checkpoint_s > 0 and whole(job, placement):
-            kept = lasted if saved else lasted // spec.checkpoint_s * spec.checkpoint_s
-            job.carried[placement.task.number] = kept
+        if spec.checkpoint_interval_s > 0 and whole(job, placement):
+            kept = lasted if saved else lasted // spec.checkpoint_interval_s * spec.checkpoint_interval_s
+            job.checkpointed_progress[placement.task.number] = kept
 
-    def watch(self, book: Book, now: Instant) -> None:
+    def watch(self, book: JobTable, now: Instant) -> None:
         """Tell how long everything has run by now, so that what is overdue shows before it ends."""
         if self._learners:
             running = list(_running(book, now))
@@ -83,9 +87,13 @@
                 learner.watch(running)
 
 
-def _running(book: Book, now: Instant) -> Iterable[tuple[JobSpec, list[Seconds]]]:
+def _running(book: JobTable, now: Instant) -> Iterable[tuple[JobSpec, list[Seconds]]]:
     for job in book.jobs.values():
-        if job.cancelled is None and not job.ending:
-            lasted = [ran(job, p, now) for p in job.placed.values() if p.phase is Phase.RUNNING and p.stop_at is None]
+        if job.cancelled_at is None and not job.is_ending:
+            lasted = [
+                ran(job, p, now)
+                for p in job.placements.values()
+                if p.phase is PlacementPhase.RUNNING and p.stop_requested_at is None
+            ]
             if lasted:
                 yield job.spec, lasted
--- a/meadowcross/leadership/messages.py
+++ b/meadowcross/leadership/messages.py
@@ -5,69 +5,69 @@
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
-from meadowcross.common.types import JobId, Mark, NodeName, Seconds, Token
-from meadowcross.rebuild.messages import LEADER_KEY, PicturePart, PictureWanted
+from meadowcross.common.types import FencingToken, JobId, NodeName, Revision, Seconds
+from meadowcross.recovery.messages import LEADER_KEY, ReplicaPart, ReplicaPartRequest
 from meadowcross.relay import messages as relay
-from meadowcross.replica.messages import Handed, Handover, Hints, HintsWanted
+from meadowcross.replication.messages import FullHintsRequest, Hints, LeadershipOffer, LeadershipOfferResponse
 
 
 class LeaderRecord(Struct):
     """Who leads. `life` tells this process from its predecessors of the same name."""
 
     node: NodeName
-    life: str
+    incarnation: str = field(name="life")
 
 
-class Beat(Struct, tag="beat", tag_field="kind"):
+class PeerHeartbeat(Struct, tag="beat", tag_field="kind"):
     """Sent to every peer about once a second."""
 
     node: NodeName
-    store_ok: bool
-    leads: Token | None = None
-    hears: int = 0
+    is_store_answering: bool = field(name="store_ok")
+    leading_token: FencingToken | None = field(name="leads", default=None)
+    workers_heard: int = field(name="hears", default=0)
     """How many workers reported to it lately, whoever leads."""
-    life: str = ""
+    incarnation: str = field(name="life", default="")
     """Tells this process from its predecessors; empty from a node of an earlier version."""
-    warm: bool = False
+    is_in_sync: bool = field(name="warm", default=False)
     """Whether it follows the store and could lead at once."""
-    lost: list[NodeName] = []
+    lost_peers: list[NodeName] = field(name="lost", default_factory=list)
     """Peers whose link to it was closed, and that refuse to be called."""
-    era: int | None = None
+    store_epoch: int | None = field(name="era", default=None)
     """The era it is in, and whether it has proof that the state service lost data in it."""
-    era_lost: bool = False
-    era_lost_before: bool = False
+    is_epoch_lost: bool = field(name="era_lost", default=False)
+    is_loss_older: bool = field(name="era_lost_before", default=False)
     """The loss is older than what it followed."""
-    seasoned: bool = False
+    has_history: bool = field(name="seasoned", default=False)
     """It has seen somebody lead since its process began, so what it knows goes back to before now."""
-    highest: Token = Token(0)
+    highest_token: FencingToken = field(name="highest", default=FencingToken(0))
     """The highest token it has seen anywhere."""
-    followed: Mark = Mark(0)
+    followed_revision: Revision = field(name="followed", default=Revision(0))
     """Up to which revision it followed the store, a leader's own picture counted as one more."""
-    store_used: float = 0.0
+    store_utilization: float = field(name="store_used", default=0.0)
     """The part of the state service's limits that it used lately; what a leader leaves is lent to the others."""
     relay_room: int | None = None
     """How many workers it can serve for a leader; None: it can't, as any node of an earlier version."""
 
 
-class ProgressQuestion(Struct, tag="progress?", tag_field="kind"):
+class ProgressRequest(Struct, tag="progress?", tag_field="kind"):
     """Asks the leader for jobs' counts, for display."""
 
     number: int
     jobs: list[JobId]
 
 
-class ProgressAnswer(Struct, tag="progress", tag_field="kind"):
+class ProgressResponse(Struct, tag="progress", tag_field="kind"):
     """Done and running tasks of those jobs that the leader knows."""
 
     number: int
     counts: dict[JobId, tuple[int, int]]
-    ends: dict[JobId, tuple[Seconds, Seconds, Seconds]] = {}
+    forecasts: dict[JobId, tuple[Seconds, Seconds, Seconds]] = field(name="ends", default_factory=dict)
     """Until when they will be done; a peer of an earlier version says nothing of it."""
 
 
-class Forward(Struct, tag="forward", tag_field="kind"):
+class ForwardRequest(Struct, tag="forward", tag_field="kind"):
     """A user's request that its node can't answer, as the state service refuses it alone."""
 
     number: int
@@ -76,7 +76,7 @@
     body: str
 
 
-class Forwarded(Struct, tag="forwarded", tag_field="kind"):
+class ForwardResponse(Struct, tag="forwarded", tag_field="kind"):
     """The answer, to be passed on as it is."""
 
     number: int
@@ -85,24 +85,24 @@
     retry_after: int | None = None
 
 
-MAX_CANCELS = 1_000
+MAX_CANCELLATIONS = 1_000
 """Of one message; it fits a netstring with room to spare."""
 
 
-class CancelsTold(Struct, tag="cancels?", tag_field="kind"):
+class CancellationNotice(Struct, tag="cancels?", tag_field="kind"):
     """Cancels that are stored, with their records' versions: who leads stops the tasks and starts nothing more of those
     jobs, with or without the state service."""
 
     number: int
     """Of the question; 0: no answer is waited for."""
-    token: Token
+    token: FencingToken
     """Of the leader as the teller knows it. A node of the version before takes no word meant for another."""
-    jobs: Annotated[dict[JobId, Mark], Meta(max_length=MAX_CANCELS)]
+    revisions: Annotated[dict[JobId, Revision], Meta(max_length=MAX_CANCELLATIONS)] = field(name="jobs")
     unrecorded: list[JobId] = []
     """Those that are stored by an end only, not proven yet, as their records were lost."""
 
 
-class CancelsTaken(Struct, tag="cancels", tag_field="kind"):
+class CancellationAck(Struct, tag="cancels", tag_field="kind"):
     """The leader has taken them in."""
 
     number: int
@@ -111,34 +111,34 @@
 
 
 Message = (
-    Beat
-    | ProgressQuestion
-    | ProgressAnswer
-    | Forward
-    | Forwarded
-    | CancelsTold
-    | CancelsTaken
+    PeerHeartbeat
+    | ProgressRequest
+    | ProgressResponse
+    | ForwardRequest
+    | ForwardResponse
+    | CancellationNotice
+    | CancellationAck
     | Hints
-    | HintsWanted
-    | Handover
-    | Handed
-    | PictureWanted
-    | PicturePart
-    | relay.Message
+    | FullHintsRequest
+    | LeadershipOffer
+    | LeadershipOfferResponse
+    | ReplicaPartRequest
+    | ReplicaPart
+    | relay.RelayMessage
 )
 
 __all__ = [
     "LEADER_KEY",
-    "MAX_CANCELS",
-    "Beat",
-    "CancelsTaken",
-    "CancelsTold",
-    "Forward",
-    "Forwarded",
+    "MAX_CANCELLATIONS",
+    "CancellationAck",
+    "CancellationNotice",
+    "ForwardRequest",
+    "ForwardResponse",
     "LeaderRecord",
     "Message",
-    "ProgressAnswer",
-    "ProgressQuestion",
+    "PeerHeartbeat",
+    "ProgressRequest",
+    "ProgressResponse",
     "decode",
     "decode_leader",
     "encode",
--- a/meadowcross/leadership/reach.py
+++ b/meadowcross/leadership/reachability.py
@@ -10,16 +10,18 @@
 from typing import NamedTuple
 
 
-class Reach(NamedTuple):
+class Reachability(NamedTuple):
     """How many machines are in use, how many of them reported to us within the window, and
     the most that a peer has seen (None: no peer was heard lately)."""
 
-    known: int
-    reported: int
-    peers: int | None
+    known_machines: int
+    reporting_machines: int
+    most_heard_by_peer: int | None
 
     @property
-    def better_elsewhere(self) -> bool:
+    def is_better_elsewhere(self) -> bool:
         """Most workers don't reach us, and more reach a peer, or peers don't reach us either.
         Machines that are silent for everyone are no reason: another could do no better."""
-        return self.reported * 2 < self.known and (self.peers is None or self.peers > self.reported)
+        return self.reporting_machines * 2 < self.known_machines and (
+            self.most_heard_by_peer is None or self.most_heard_by_peer > self.reporting_machines
+        )
--- a/meadowcross/tickets/asking.py
+++ b/meadowcross/openjd/asking.py
@@ -11,8 +11,8 @@
 from twisted.web.http_headers import Headers
 
 from meadowcross.common.types import Seconds
-from meadowcross.tickets.keys import KeyTrouble, read_private, read_public
-from meadowcross.tickets.signing import secret_of, signature
+from meadowcross.openjd.keys import KeyTrouble, read_private, read_public
+from meadowcross.openjd.signing import secret_of, signature
 
 WITHIN_S: Seconds = 10.0
 
--- a/meadowcross/tickets/cli.py
+++ b/meadowcross/openjd/cli.py
@@ -69,7 +69,7 @@
 
 def _with_keys(act: Callable[[argparse.Namespace], None]) -> Callable[[argparse.Namespace], int]:
     def run(options: argparse.Namespace) -> int:
-        from meadowcross.tickets.keys import KeyTrouble
+        from meadowcross.openjd.keys import KeyTrouble
 
         try:
             act(options)
@@ -82,14 +82,14 @@
 
 
 def _keys_init(options: argparse.Namespace) -> None:
-    from meadowcross.tickets.keys import Authority
+    from meadowcross.openjd.keys import Authority
 
     Authority.init(options.directory, options.site, options.days)
     print(f"{options.directory}: an authority; keep its key where only you can read it")
 
 
 def _keys_issue(options: argparse.Namespace) -> None:
-    from meadowcross.tickets.keys import SERVER, SUBMITTER, Authority
+    from meadowcross.openjd.keys import SERVER, SUBMITTER, Authority
 
     kind = SERVER if options.host else SUBMITTER
     path = Authority(options.directory).issue(options.name, kind, options.days, options.host or ())
@@ -97,7 +97,7 @@
 
 
 def _keys_revoke(options: argparse.Namespace) -> None:
-    from meadowcross.tickets.keys import Authority
+    from meadowcross.openjd.keys import Authority
 
     print(f"revoked {Authority(options.directory).revoke(options.name)}")
 
@@ -105,7 +105,7 @@
 def _keys_list(options: argparse.Namespace) -> None:
     import msgspec
 
-    from meadowcross.tickets.keys import Authority
+    from meadowcross.openjd.keys import Authority
 
     issued = Authority(options.directory).issued()
     if options.json:
@@ -117,9 +117,9 @@
 
 def _serve(options: argparse.Namespace) -> int:
     from meadowcross.common.settings import SettingsError
-    from meadowcross.tickets.gateway import load_gateway, serve
-    from meadowcross.tickets.keys import KeyTrouble
-    from meadowcross.tickets.site import load
+    from meadowcross.openjd.gateway import load_gateway, serve
+    from meadowcross.openjd.keys import KeyTrouble
+    from meadowcross.openjd.site import load
 
     try:
         if options.check:
@@ -162,12 +162,12 @@
     """One request to the gateway; what it refuses is told in one line."""
     import msgspec
 
-    from meadowcross.common.once import run_now
-    from meadowcross.tickets.asking import NoAnswer, ask
-    from meadowcross.tickets.keys import KeyTrouble
+    from meadowcross.common.reactor_runner import run_until_complete
+    from meadowcross.openjd.asking import NoAnswer, ask
+    from meadowcross.openjd.keys import KeyTrouble
 
     try:
-        status, answer = run_now(ask(options, method, path, body))
+        status, answer = run_until_complete(ask(options, method, path, body))
     except (NoAnswer, KeyTrouble) as error:
         return _say(str(error))
     if status not in (200, 201):
@@ -217,9 +217,9 @@
 
     from meadowcross.common.settings import SettingsError
     from meadowcross.jobs.messages import Priority
-    from meadowcross.tickets.plan import plan_of
-    from meadowcross.tickets.reading import TicketError
-    from meadowcross.tickets.site import Site, Submitter, load
+    from meadowcross.openjd.plan import plan_of
+    from meadowcross.openjd.reading import TicketError
+    from meadowcross.openjd.site import Site, Submitter, load
 
     parameters = _parameters(options.parameter)
     if isinstance(parameters, str):
--- a/meadowcross/tickets/controllers.py
+++ b/meadowcross/openjd/controllers.py
@@ -10,11 +10,11 @@
 from typing import NamedTuple
 
 from meadowcross.common.clock import Clock
-from meadowcross.common.http import HttpClient, NotSent, Reply, Unanswered
-from meadowcross.common.logging import logger
+from meadowcross.common.http import ClientResponse, ConnectionFailedError, HttpClient, NoResponseError
+from meadowcross.common.logging import get_logger
 from meadowcross.common.types import Address, Seconds
 
-log = logger("tickets")
+log = get_logger("tickets")
 
 FIRST_PAUSE_S: Seconds = 0.5
 LONGEST_PAUSE_S: Seconds = 30.0
@@ -111,17 +111,17 @@
 
     async def _ask(
         self, node: Node, method: str, path: str, body: bytes | None, within: Seconds
-    ) -> tuple[Reply | None, bool]:
+    ) -> tuple[ClientResponse | None, bool]:
         """The answer, if any, and whether the request may have been carried out without one."""
         self.requests += 1
         node.open += 1
         node.probing = node.failures > 0
         try:
             reply = await self._http.call(method, node.address, path, body, within)
-        except NotSent:
+        except ConnectionFailedError:
             self._failed(node, None)
             return None, False
-        except Unanswered:
+        except NoResponseError:
             self._failed(node, None)
             return None, True
         finally:
--- a/meadowcross/tickets/driver.py
+++ b/meadowcross/openjd/driver.py
@@ -16,17 +16,24 @@
 from twisted.internet.task import LoopingCall
 
 from meadowcross.common.clock import Clock, pause
-from meadowcross.common.logging import logger
-from meadowcross.common.types import Mark, Seconds
+from meadowcross.common.logging import get_logger
+from meadowcross.common.types import Revision, Seconds
 from meadowcross.jobs import messages as jm
+from meadowcross.openjd import records as r
+from meadowcross.openjd.controllers import Busy, Controllers
+from meadowcross.openjd.members import Members
 from meadowcross.store import messages as sm
-from meadowcross.store.budget import Urgency
-from meadowcross.store.client import Conflicted, Refused, StoreClient, Unavailable, Unknown, WatchTooOld
-from meadowcross.tickets import records as r
-from meadowcross.tickets.controllers import Busy, Controllers
-from meadowcross.tickets.members import Members
-
-log = logger("tickets")
+from meadowcross.store.client import (
+    ConflictError,
+    IndeterminateResultError,
+    RequestRejectedError,
+    StoreClient,
+    StoreUnavailableError,
+    WatchCompactedError,
+)
+from meadowcross.store.token_bucket import RequestPriority
+
+log = get_logger("tickets")
 
 TICK_S: Seconds = 0.1
 POLL_S: Seconds = 3.0
@@ -70,7 +77,7 @@
 class Open:
     """An open ticket that we drive."""
 
-    def __init__(self, ticket: r.TicketId, record: r.TicketRecord, mark: Mark, at: float) -> None:
+    def __init__(self, ticket: r.TicketId, record: r.TicketRecord, mark: Revision, at: float) -> None:
         self.id = ticket
         self.record = record
         self.mark = mark
@@ -128,41 +135,46 @@
             await pause(self._clock, 0.0)
             wanted, self._unread = self._unread, set()
             try:
-                items, _ = await self._store.list(r.OPEN, Urgency.PLACEMENT, PAGE)
-            except (Unavailable, Unknown, Refused, msgspec.DecodeError) as error:
+                items, _ = await self._store.list_items(r.OPEN, RequestPriority.PLACEMENT, PAGE)
+            except (
+                StoreUnavailableError,
+                IndeterminateResultError,
+                RequestRejectedError,
+                msgspec.DecodeError,
+            ) as error:
                 log.debug("%d partitions are not read yet: %s", len(wanted), error)
                 self._unread |= wanted
                 await pause(self._clock, wait)
                 wait = min(RETRY_MOST_S, 2 * wait)
                 continue
             for item in items:
-                self.seen(item.key, item.value, item.mark)
+                self.seen(item.key, item.value, item.mod_revision)
         self._loading = False
 
     async def _watch(self) -> None:
         """New tickets and cancels, whichever gateway took them."""
-        revision: Mark | None = None
+        revision: Revision | None = None
         while not self._stopped:
             try:
                 if revision is None:
                     # Also after a gap in the watch: what came meanwhile is read with all the rest.
-                    items, revision = await self._store.list(r.OPEN, Urgency.PLACEMENT, PAGE)
+                    items, revision = await self._store.list_items(r.OPEN, RequestPriority.PLACEMENT, PAGE)
                     for item in items:
-                        self.seen(item.key, item.value, item.mark)
+                        self.seen(item.key, item.value, item.mod_revision)
                 seen = await self._store.watch(r.OPEN, revision, WATCH_S)
-            except WatchTooOld:
+            except WatchCompactedError:
                 revision = None
                 continue
-            except (Unavailable, Unknown, Refused) as error:
+            except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
                 log.debug("watch of tickets: %s", error)
                 await pause(self._clock, RETRY_S)
                 continue
             revision = seen.revision
             for event in seen.events:
-                if event.written is not None:
-                    self.seen(event.written, event.value, event.mark)
+                if event.written_key is not None:
+                    self.seen(event.written_key, event.value, event.mod_revision)
 
-    def seen(self, key: str, value: msgspec.Raw, mark: Mark) -> None:
+    def seen(self, key: str, value: msgspec.Raw, mark: Revision) -> None:
         """A ticket's record as read or watched; taken up if it is ours to drive."""
         ticket = r.ticket_of(key)
         if r.partition_of(ticket) not in self._members().claims:
@@ -198,7 +210,7 @@
             await self._drive(one)
         except Busy as busy:
             one.at = self._clock.seconds() + busy.after
-        except (Unavailable, Unknown, Refused) as error:
+        except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
             log.debug("ticket %s waits: %s", one.id, error)
             one.at = self._clock.seconds() + RETRY_S * (1 + self._chance.random())
         except Exception:
@@ -265,10 +277,10 @@
             said = await self._controllers.call("GET", f"/v1/jobs/{step.job}", None, WITHIN_S)
         if said.status != 200:
             return False
-        standing = msgspec.json.decode(said.body, type=jm.JobAnswer).standing
-        if standing is jm.Standing.DONE:
+        standing = msgspec.json.decode(said.body, type=jm.JobResponse).state
+        if standing is jm.JobState.DONE:
             return await self._note(one, number, r.StepState.DONE, "", step.job)
-        if standing is jm.Standing.CANCELLED:
+        if standing is jm.JobState.CANCELLED:
             why = "" if one.record.cancelled is not None else "its job was withdrawn"
             return await self._note(one, number, r.StepState.CANCELLED, why, step.job)
         return False
@@ -294,12 +306,12 @@
             return False
         try:
             mark = await self._store.transact(
-                conditions, [sm.Put(r.open_key(one.id), sm.raw(record))], Urgency.PLACEMENT
+                conditions, [sm.Put(r.open_key(one.id), sm.encode_raw(record))], RequestPriority.PLACEMENT
             )
-        except Conflicted as conflict:
-            await self._conflict(one, conflict.failed)
+        except ConflictError as conflict:
+            await self._conflict(one, conflict.failed_keys)
             return False
-        except Unknown:
+        except IndeterminateResultError:
             await self._reread(one)
             raise
         if mark > one.mark:
@@ -315,21 +327,21 @@
         await self._reread(one)
 
     async def _reread(self, one: Open) -> None:
-        item = await self._store.get(r.open_key(one.id), Urgency.PLACEMENT)
+        item = await self._store.get(r.open_key(one.id), RequestPriority.PLACEMENT)
         if item is None:
             # Only an owner moves a ticket away: a transaction of ours that was thought lost.
             self.open.pop(one.id, None)
-        elif item.mark != one.mark:
-            one.record, one.mark = r.decode_ticket(item.value), item.mark
+        elif item.mod_revision != one.mark:
+            one.record, one.mark = r.decode_ticket(item.value), item.mod_revision
             one.at = self._clock.seconds()
 
     async def _content(self, one: Open) -> r.Content:
         if one.content is None:
             pieces = []
             for number in range(one.record.pieces):
-                item = await self._store.get(r.piece_key(one.id, one.record.digest, number), Urgency.PLACEMENT)
+                item = await self._store.get(r.piece_key(one.id, one.record.digest, number), RequestPriority.PLACEMENT)
                 if item is None:
-                    raise Refused(f"piece {number} of ticket {one.id} is missing")
+                    raise RequestRejectedError(f"piece {number} of ticket {one.id} is missing")
                 pieces.append(r.decode_piece(item.value))
             one.content = r.joined(pieces)
         return one.content
@@ -340,17 +352,17 @@
         if conditions is None:
             return
         changes: list[Any] = [
-            sm.Put(r.ended_key(one.id), sm.raw(one.record)),
-            sm.Drop(r.open_key(one.id)),
+            sm.Put(r.ended_key(one.id), sm.encode_raw(one.record)),
+            sm.Delete(r.open_key(one.id)),
         ]
         pieces = [r.piece_key(one.id, one.record.digest, number) for number in range(one.record.pieces)]
-        changes += [sm.Drop(key) for key in pieces[: self._store.max_changes - len(changes)]]
+        changes += [sm.Delete(key) for key in pieces[: self._store.max_changes - len(changes)]]
         try:
-            await self._store.transact(conditions, changes, Urgency.PLACEMENT)
-        except Conflicted as conflict:
-            await self._conflict(one, conflict.failed)
+            await self._store.transact(conditions, changes, RequestPriority.PLACEMENT)
+        except ConflictError as conflict:
+            await self._conflict(one, conflict.failed_keys)
             return
-        except Unknown:
+        except IndeterminateResultError:
             await self._reread(one)
             raise
         log.info("ticket %s ended: %s", one.id, one.record.state.value)
--- a/meadowcross/tickets/gateway.py
+++ b/meadowcross/openjd/gateway.py
@@ -13,14 +13,14 @@
 from msgspec import Meta, Struct
 
 from meadowcross.common.http import HttpClient, Router
-from meadowcross.common.settings import SettingsError, StateFacts, plain_values, read_xml
+from meadowcross.common.settings import SettingsError, StateFacts, read_plain_elements, read_xml
 from meadowcross.common.types import Address
+from meadowcross.openjd.controllers import Controllers
+from meadowcross.openjd.driver import Driver
+from meadowcross.openjd.intake import Intake
+from meadowcross.openjd.members import Members, begin
+from meadowcross.openjd.site import Site, load
 from meadowcross.store.client import StoreClient
-from meadowcross.tickets.controllers import Controllers
-from meadowcross.tickets.driver import Driver
-from meadowcross.tickets.intake import Intake
-from meadowcross.tickets.members import Members, begin
-from meadowcross.tickets.site import Site, load
 
 _HostPort = Annotated[str, Meta(pattern=r"^[^:\s]+:\d{1,5}$")]
 _Positive = Annotated[float, Meta(gt=0)]
@@ -58,7 +58,7 @@
     """Raises SettingsError: the file, the element, what was expected."""
     root = read_xml(path, "gateway")
     known = {field.encode_name for field in msgspec.structs.fields(GatewaySettings)}
-    values = plain_values(path, root, known, ("controllers",))
+    values = read_plain_elements(path, root, known, ("controllers",))
     try:
         made = msgspec.convert(values, GatewaySettings, strict=False)
     except msgspec.ValidationError as error:
@@ -88,7 +88,7 @@
         )
         self.store = StoreClient(reactor, http, Address(settings.state), facts)
         # All of what the file grants: it is no share of the controllers' limits.
-        self.store.set_share(1.0)
+        self.store.reset_share(1.0)
         self.controllers = Controllers(reactor, http, [Address(one) for one in settings.controllers])
         self.driver = Driver(reactor, self.store, self.controllers, chance, lambda: self.members)
         self.members = Members(
@@ -108,20 +108,20 @@
 
     def listen(self) -> Any:
         """Serve; with TLS or secrets only to those who show who they are. Raises KeyTrouble."""
-        from meadowcross.common.http import api_factory
+        from meadowcross.common.http import build_api_factory
 
         host, _, port = self._settings.listen.rpartition(":")
         if not any(self._settings.tls) and not self._settings.secrets:
-            factory = api_factory(self.router, self._reactor)
+            factory = build_api_factory(self.router, self._reactor)
             return self._reactor.listenTCP(int(port), factory, interface=host, backlog=128)
         # Only here: without keys nothing of them is loaded.
-        from meadowcross.tickets.guard import Guard, Tls
-        from meadowcross.tickets.signing import Signatures
+        from meadowcross.openjd.guard import Guard, Tls
+        from meadowcross.openjd.signing import Signatures
 
         tls = Tls(*self._settings.tls) if any(self._settings.tls) else None
         secrets = self._settings.secrets
         guard = Guard(tls, Signatures(secrets, time.time) if secrets else None)
-        factory = api_factory(self.router, self._reactor, guard)
+        factory = build_api_factory(self.router, self._reactor, guard)
         if tls is None:
             return self._reactor.listenTCP(int(port), factory, interface=host, backlog=128)
         return self._reactor.listenSSL(int(port), factory, tls, interface=host, backlog=128)
@@ -136,7 +136,7 @@
 
     from meadowcross.common import logging as node_logging
 
-    node_logging.set_up(settings.name)
+    node_logging.configure_logging(settings.name)
     loop: Any = reactor
     gateway = Gateway(loop, HttpClient(loop), settings, site, Random())
     gateway.listen()
--- a/meadowcross/tickets/guard.py
+++ b/meadowcross/openjd/guard.py
@@ -10,12 +10,12 @@
 from cryptography import x509
 from OpenSSL import SSL
 
-from meadowcross.common.http import Answer, ApiRequest, reason
-from meadowcross.common.logging import logger
-from meadowcross.tickets.keys import KeyTrouble, common_name, read_private, revoked_serials
-from meadowcross.tickets.signing import Signatures
+from meadowcross.common.http import ApiRequest, ServerResponse, error_response
+from meadowcross.common.logging import get_logger
+from meadowcross.openjd.keys import KeyTrouble, common_name, read_private, revoked_serials
+from meadowcross.openjd.signing import Signatures
 
-log = logger("tickets")
+log = get_logger("tickets")
 
 _OF = re.compile(r"/v1/submitters/([^/]+)/.*")
 
@@ -77,7 +77,7 @@
         self._tls = tls
         self._signatures = signatures
 
-    def __call__(self, request: ApiRequest, path: str, body: bytes) -> Answer | None:
+    def __call__(self, request: ApiRequest, path: str, body: bytes) -> ServerResponse | None:
         named = _OF.fullmatch(path)
         if named is None:
             return None
@@ -85,10 +85,10 @@
             who = self._who(request, path, body)
         except KeyTrouble as error:
             log.info("a request for %.60r is refused: %s", named[1], error)
-            return reason(401, str(error))
+            return error_response(401, str(error))
         if who != named[1]:
             log.info("%s asked for %.60r: refused", who, named[1])
-            return reason(403, "not yours")
+            return error_response(403, "not yours")
         return None
 
     def _who(self, request: ApiRequest, path: str, body: bytes) -> str:
--- a/meadowcross/tickets/intake.py
+++ b/meadowcross/openjd/intake.py
@@ -17,18 +17,24 @@
 from twisted.internet.defer import Deferred
 
 from meadowcross.common.clock import Clock
-from meadowcross.common.http import Answer, Router, reason
-from meadowcross.common.logging import logger
-from meadowcross.common.types import Mark, Seconds, WallTime
+from meadowcross.common.http import Router, ServerResponse, error_response
+from meadowcross.common.logging import get_logger
+from meadowcross.common.types import Revision, Seconds, WallTime
+from meadowcross.openjd import records as r
+from meadowcross.openjd.plan import native, plan_of
+from meadowcross.openjd.reading import TicketError
+from meadowcross.openjd.site import Site, Submitter
 from meadowcross.store import messages as sm
-from meadowcross.store.budget import Budget, Urgency
-from meadowcross.store.client import Conflicted, Refused, StoreClient, Unavailable, Unknown
-from meadowcross.tickets import records as r
-from meadowcross.tickets.plan import native, plan_of
-from meadowcross.tickets.reading import TicketError
-from meadowcross.tickets.site import Site, Submitter
+from meadowcross.store.client import (
+    ConflictError,
+    IndeterminateResultError,
+    RequestRejectedError,
+    StoreClient,
+    StoreUnavailableError,
+)
+from meadowcross.store.token_bucket import RequestPriority, TokenBucket
 
-log = logger("tickets")
+log = get_logger("tickets")
 
 RETRY_AFTER_S = 1
 MAX_OPEN = 32
@@ -58,14 +64,14 @@
 _decode = msgspec.json.Decoder(Submission).decode
 
 
-def _json(status: int, value: Any) -> Answer:
-    return Answer(status, msgspec.json.encode(value) + b"\n")
+def _json(status: int, value: Any) -> ServerResponse:
+    return ServerResponse(status, msgspec.json.encode(value) + b"\n")
 
 
-def _told(record: r.TicketRecord | None, ticket: r.TicketId, name: str) -> Answer:
+def _told(record: r.TicketRecord | None, ticket: r.TicketId, name: str) -> ServerResponse:
     """A ticket's state, for its own submitter only."""
     if record is None or record.submitter != name:
-        return reason(404, "no such ticket")
+        return error_response(404, "no such ticket")
     return _json(200, r.plain(record, ticket))
 
 
@@ -75,9 +81,9 @@
         self._store = store
         self._site = site
         self._rate = tickets_per_s
-        self._rates: dict[str, Budget] = {}
-        self._all = Budget(clock, 4 * tickets_per_s, 4 * tickets_per_s * BURST_S)
-        self._questions = Budget(clock, QUESTIONS_PER_S, QUESTIONS_PER_S)
+        self._rates: dict[str, TokenBucket] = {}
+        self._all = TokenBucket(clock, 4 * tickets_per_s, 4 * tickets_per_s * BURST_S)
+        self._questions = TokenBucket(clock, QUESTIONS_PER_S, QUESTIONS_PER_S)
         self._open = 0
         self._reading: dict[r.TicketId, list[Deferred[r.TicketRecord | None]]] = {}
         self._ended: OrderedDict[r.TicketId, r.TicketRecord] = OrderedDict()
@@ -89,36 +95,36 @@
         router.add("GET", r"/v1/submitters/([^/]+)/tickets", self._guarded(self.list))
         router.add("GET", r"/v1/submitters/([^/]+)/tickets/([^/]+)", self._guarded(self.state))
         router.add("POST", r"/v1/submitters/([^/]+)/tickets/([^/]+)/cancel", self._guarded(self.cancel))
-        router.add("GET", r"/ready", lambda body: Answer(200, b'{"ready":true}\n'))
+        router.add("GET", r"/ready", lambda body: ServerResponse(200, b'{"ready":true}\n'))
 
-    def _guarded(self, operation: Callable[..., Awaitable[Answer]]) -> Callable[..., Awaitable[Answer]]:
-        async def run(body: bytes, *what: str) -> Answer:
+    def _guarded(self, operation: Callable[..., Awaitable[ServerResponse]]) -> Callable[..., Awaitable[ServerResponse]]:
+        async def run(body: bytes, *what: str) -> ServerResponse:
             try:
                 return await operation(body, *what)
-            except (Unavailable, Unknown, Refused) as error:
+            except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
                 log.debug("request refused: %s", error)
-                return reason(503, "the state service gives no answer", RETRY_AFTER_S)
+                return error_response(503, "the state service gives no answer", RETRY_AFTER_S)
 
         return run
 
     # Submitting
 
-    def _read(self, body: bytes, name: str) -> tuple[Submitter, Submission] | Answer:
+    def _read(self, body: bytes, name: str) -> tuple[Submitter, Submission] | ServerResponse:
         submitter = self._site.named(name)
         if submitter is None:
-            return reason(403, "unknown submitter")
+            return error_response(403, "unknown submitter")
         try:
             return submitter, _decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            return reason(400, str(error))
+            return error_response(400, str(error))
 
-    async def check(self, body: bytes, name: str) -> Answer:
+    async def check(self, body: bytes, name: str) -> ServerResponse:
         """Validate only."""
         given = self._read(body, name)
-        if isinstance(given, Answer):
+        if isinstance(given, ServerResponse):
             return given
         if not self._may(name):
-            return reason(429, "too many tickets a second", RETRY_AFTER_S)
+            return error_response(429, "too many tickets a second", RETRY_AFTER_S)
         submitter, submission = given
         try:
             return _json(200, plan_of(submission.document.encode(), submission.parameters, submitter))
@@ -129,24 +135,24 @@
         """Within the submitter's own rate, and then within that of all."""
         rate = self._rates.get(name)
         if rate is None:
-            rate = self._rates[name] = Budget(self._clock, self._rate, self._rate * BURST_S)
-        return rate.try_take() and self._all.try_take()
+            rate = self._rates[name] = TokenBucket(self._clock, self._rate, self._rate * BURST_S)
+        return rate.try_acquire() and self._all.try_acquire()
 
-    async def submit(self, body: bytes, name: str) -> Answer:
+    async def submit(self, body: bytes, name: str) -> ServerResponse:
         given = self._read(body, name)
-        if isinstance(given, Answer):
+        if isinstance(given, ServerResponse):
             return given
         if not self._may(name):
-            return reason(429, "too many tickets a second", RETRY_AFTER_S)
+            return error_response(429, "too many tickets a second", RETRY_AFTER_S)
         if self._open >= MAX_OPEN:
-            return reason(503, "too many submissions are open", RETRY_AFTER_S)
+            return error_response(503, "too many submissions are open", RETRY_AFTER_S)
         self._open += 1
         try:
             return await self._submit(*given)
         finally:
             self._open -= 1
 
-    async def _submit(self, submitter: Submitter, submission: Submission) -> Answer:
+    async def _submit(self, submitter: Submitter, submission: Submission) -> ServerResponse:
         ticket = r.ticket_id(submitter.name, submission.key)
         digest = r.digest_of(submission.document, submission.parameters)
         try:
@@ -159,7 +165,7 @@
             return _json(422, {"error": error.what, "field": error.field})
         specs = [native(plan, number, STAND_IN, submitter) for number in range(len(plan.steps))]
         content = r.Content(submission.document, submission.parameters, specs)
-        pieces = r.split(content, self._store.max_value - 64)
+        pieces = r.split(content, self._store.max_value_bytes - 64)
         record = r.TicketRecord(
             r.FORMAT,
             plan.name,
@@ -169,8 +175,8 @@
             WallTime(self._clock.seconds()),
             [r.StepRecord(step.name, step.tasks, step.after) for step in plan.steps],
         )
-        value = sm.raw(record)
-        if len(bytes(value)) > self._store.max_value:
+        value = sm.encode_raw(record)
+        if len(bytes(value)) > self._store.max_value_bytes:
             return _json(422, {"error": "too many steps with long names to keep", "field": "steps"})
         known = await self._find(ticket)
         if known is None:
@@ -184,32 +190,32 @@
         return _json(200, r.plain(known, ticket))
 
     async def _store_pieces(self, ticket: r.TicketId, digest: str, pieces: list[str]) -> None:
-        group: list[sm.Put | sm.Drop] = []
+        group: list[sm.Put | sm.Delete] = []
         size = 0
         for number, piece in enumerate(pieces):
-            put = sm.Put(r.piece_key(ticket, digest, number), sm.raw(piece))
+            put = sm.Put(r.piece_key(ticket, digest, number), sm.encode_raw(piece))
             if group and (size + len(bytes(put.value)) > SENT_AT_ONCE or len(group) >= self._store.max_changes):
-                await self._store.transact([], group, Urgency.USER)
+                await self._store.transact([], group, RequestPriority.USER)
                 group, size = [], 0
             group.append(put)
             size += len(bytes(put.value))
-        await self._store.transact([], group, Urgency.USER)
+        await self._store.transact([], group, RequestPriority.USER)
 
     async def _accept(self, ticket: r.TicketId, record: r.TicketRecord, value: msgspec.Raw) -> r.TicketRecord | None:
         """Store the record, which makes the ticket accepted; the one that is there already, if any."""
         try:
             await self._store.transact(
-                [sm.Condition(r.open_key(ticket), Mark(0)), sm.Condition(r.ended_key(ticket), Mark(0))],
+                [sm.Condition(r.open_key(ticket), Revision(0)), sm.Condition(r.ended_key(ticket), Revision(0))],
                 [sm.Put(r.open_key(ticket), value)],
-                Urgency.USER,
+                RequestPriority.USER,
             )
             return None
-        except Conflicted:
+        except ConflictError:
             known = await self._find(ticket)
             if known is None:
-                raise Unavailable("the ticket just changed") from None
+                raise StoreUnavailableError("the ticket just changed") from None
             return known
-        except Unknown:
+        except IndeterminateResultError:
             known = await self._find(ticket)
             if known is None:
                 raise
@@ -231,9 +237,9 @@
                 return record
         return None
 
-    async def state(self, body: bytes, name: str, text: str) -> Answer:
+    async def state(self, body: bytes, name: str, text: str) -> ServerResponse:
         if not r.is_ticket_id(text):
-            return reason(404, "no such ticket")
+            return error_response(404, "no such ticket")
         ticket = r.TicketId(text)
         record = self._ended.get(ticket)
         if record is None:
@@ -244,8 +250,8 @@
                 waiting.append(answer)
                 record = await answer
             else:
-                if not self._questions.try_take():
-                    return reason(503, "too many questions", RETRY_AFTER_S)
+                if not self._questions.try_acquire():
+                    return error_response(503, "too many questions", RETRY_AFTER_S)
                 record = await self._shared(ticket)
         return _told(record, ticket, name)
 
@@ -265,23 +271,23 @@
             one.callback(record)
         return record
 
-    async def list(self, body: bytes, name: str) -> Answer:
+    async def list(self, body: bytes, name: str) -> ServerResponse:
         """A submitter's open tickets; one read in two seconds serves all submitters."""
         if self._site.named(name) is None:
-            return reason(403, "unknown submitter")
+            return error_response(403, "unknown submitter")
         now = self._clock.seconds()
         if self._listed is None or now - self._listed[0] >= LISTED_S:
-            if not self._questions.try_take():
-                return reason(503, "too many questions", RETRY_AFTER_S)
-            items, _ = await self._store.list(r.OPEN, Urgency.USER, 200)
+            if not self._questions.try_acquire():
+                return error_response(503, "too many questions", RETRY_AFTER_S)
+            items, _ = await self._store.list_items(r.OPEN, RequestPriority.USER, 200)
             self._listed = (now, [(r.ticket_of(item.key), r.decode_ticket(item.value)) for item in items])
         own = [r.plain(record, ticket) for ticket, record in self._listed[1] if record.submitter == name]
         return _json(200, {"tickets": own[:MAX_LISTED], "more": len(own) > MAX_LISTED})
 
-    async def cancel(self, body: bytes, name: str, text: str) -> Answer:
+    async def cancel(self, body: bytes, name: str, text: str) -> ServerResponse:
         """Stored; whoever drives the ticket then withdraws its jobs. Safe to repeat."""
         if not r.is_ticket_id(text):
-            return reason(404, "no such ticket")
+            return error_response(404, "no such ticket")
         ticket = r.TicketId(text)
         for _ in range(TRIES):
             item = await self._store.get(r.open_key(ticket))
@@ -296,13 +302,13 @@
             record = replace(record, cancelled=WallTime(self._clock.seconds()))
             try:
                 await self._store.transact(
-                    [sm.Condition(r.open_key(ticket), item.mark)],
-                    [sm.Put(r.open_key(ticket), sm.raw(record))],
-                    Urgency.USER,
+                    [sm.Condition(r.open_key(ticket), item.mod_revision)],
+                    [sm.Put(r.open_key(ticket), sm.encode_raw(record))],
+                    RequestPriority.USER,
                 )
-            except (Conflicted, Unknown):
+            except (ConflictError, IndeterminateResultError):
                 # Its driver wrote first, or no answer came: only a fresh read tells.
                 continue
             log.info("ticket %s cancelled", ticket)
             return _json(200, r.plain(record, ticket))
-        return reason(503, "the ticket is changing", RETRY_AFTER_S)
+        return error_response(503, "the ticket is changing", RETRY_AFTER_S)
--- a/meadowcross/tickets/members.py
+++ b/meadowcross/openjd/members.py
@@ -14,14 +14,20 @@
 from twisted.internet.defer import Deferred
 
 from meadowcross.common.clock import Clock, pause
-from meadowcross.common.logging import logger
-from meadowcross.common.types import HoldId, Mark, Seconds
+from meadowcross.common.logging import get_logger
+from meadowcross.common.types import LeaseId, Revision, Seconds
+from meadowcross.openjd import records as r
 from meadowcross.store import messages as sm
-from meadowcross.store.budget import Urgency
-from meadowcross.store.client import Conflicted, Refused, StoreClient, Unavailable, Unknown
-from meadowcross.tickets import records as r
+from meadowcross.store.client import (
+    ConflictError,
+    IndeterminateResultError,
+    RequestRejectedError,
+    StoreClient,
+    StoreUnavailableError,
+)
+from meadowcross.store.token_bucket import RequestPriority
 
-log = logger("tickets")
+log = get_logger("tickets")
 
 TICK_S: Seconds = 1.0
 
@@ -53,9 +59,9 @@
         self._hold_s = hold_s
         self._claimed = claimed
         self._lost = lost
-        self._hold: HoldId | None = None
+        self._hold: LeaseId | None = None
         self._key = r.GATEWAYS + name
-        self._mark = Mark(0)
+        self._mark = Revision(0)
         self._stopped = False
         self.claims: dict[r.Partition, sm.Condition] = {}
         """Of what we drive: the condition of every write."""
@@ -70,10 +76,10 @@
                     await self._keep_hold()
                     renew_at = now + self._hold_s / 4
                 await self._round()
-            except (Unavailable, Unknown, Refused) as error:
+            except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
                 # In an outage nobody else can claim either: what we drive stays ours.
                 log.debug("membership waits: %s", error)
-            except Conflicted:
+            except ConflictError:
                 log.debug("a claim was made by another first")
             except Exception:
                 log.exception("membership failed")
@@ -86,16 +92,16 @@
         hold, self._hold = self._hold, None
         if hold is not None:
             try:
-                await self._store.end_hold(hold)
-            except (Unavailable, Unknown, Refused):
+                await self._store.revoke_lease(hold)
+            except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError):
                 log.debug("hold %d left to end by itself", hold)
 
     async def _keep_hold(self) -> None:
-        if self._hold is not None and not await self._store.renew_hold(self._hold, self._hold_s):
+        if self._hold is not None and not await self._store.renew_lease(self._hold, self._hold_s):
             self._lose_all("hold ended")
-            self._hold, self._mark = None, Mark(0)
+            self._hold, self._mark = None, Revision(0)
         if self._hold is None:
-            self._hold = await self._store.open_hold(self._hold_s)
+            self._hold = await self._store.grant_lease(self._hold_s)
 
     def _lose_all(self, why: str) -> None:
         for partition in list(self.claims):
@@ -111,7 +117,7 @@
         self._lose(partition, "its claim is gone")
 
     async def _round(self) -> None:
-        items, _ = await self._store.list(r.MEMBERS, Urgency.LEADERSHIP)
+        items, _ = await self._store.list_items(r.MEMBERS, RequestPriority.LEADERSHIP)
         if self._stopped:
             return
         living: dict[str, sm.Item] = {}
@@ -128,7 +134,7 @@
         if r.decode_member(own.value).life != self._life:
             # Our predecessor of the same name: its hold ends by itself.
             return
-        self._mark = own.mark
+        self._mark = own.mod_revision
         if sorted(living) != self.living:
             self.living = sorted(living)
             log.info("living gateways: %s", ", ".join(self.living))
@@ -139,10 +145,12 @@
 
     async def _join(self) -> None:
         assert self._hold is not None
-        put = sm.Put(self._key, sm.raw(r.Member(self._name, self._life)), self._hold)
+        put = sm.Put(self._key, sm.encode_raw(r.Member(self._name, self._life)), self._hold)
         try:
-            self._mark = await self._store.transact([sm.Condition(self._key, Mark(0))], [put], Urgency.LEADERSHIP)
-        except Refused:
+            self._mark = await self._store.transact(
+                [sm.Condition(self._key, Revision(0))], [put], RequestPriority.LEADERSHIP
+            )
+        except RequestRejectedError:
             # The hold ended meanwhile.
             self._hold = None
             raise
@@ -151,13 +159,13 @@
         """What the keys say is so: also where a lost answer hid that a claim came about, or ended."""
         for partition in list(self.claims):
             item = claims.get(partition)
-            if item is None or item.mark != self.claims[partition].mark:
+            if item is None or item.mod_revision != self.claims[partition].mod_revision:
                 self._lose(partition, "its key says so")
         for partition, item in claims.items():
             if partition not in self.claims and r.decode_member(item.value).life == self._life:
-                self._take(partition, item.mark)
+                self._take(partition, item.mod_revision)
 
-    def _take(self, partition: r.Partition, mark: Mark) -> None:
+    def _take(self, partition: r.Partition, mark: Revision) -> None:
         self.claims[partition] = sm.Condition(r.claim_key(partition), mark)
         self._claimed(partition)
 
@@ -165,11 +173,11 @@
         most = max(1, self._store.max_changes)
         for first in range(0, len(partitions), most):
             group = partitions[first : first + most]
-            value = sm.raw(r.Member(self._name, self._life))
+            value = sm.encode_raw(r.Member(self._name, self._life))
             mark = await self._store.transact(
-                [sm.Condition(self._key, self._mark), *(sm.Condition(r.claim_key(p), Mark(0)) for p in group)],
+                [sm.Condition(self._key, self._mark), *(sm.Condition(r.claim_key(p), Revision(0)) for p in group)],
                 [sm.Put(r.claim_key(p), value, self._hold) for p in group],
-                Urgency.LEADERSHIP,
+                RequestPriority.LEADERSHIP,
             )
             if self._stopped:
                 return
@@ -186,7 +194,7 @@
             for partition in group:
                 self._lose(partition, "another gateway's share")
             if held:
-                await self._store.transact(held, [sm.Drop(one.key) for one in held], Urgency.LEADERSHIP)
+                await self._store.transact(held, [sm.Delete(one.key) for one in held], RequestPriority.LEADERSHIP)
 
 
 def begin(members: Members) -> None:
--- a/meadowcross/tickets/plan.py
+++ b/meadowcross/openjd/plan.py
@@ -13,8 +13,8 @@
 from msgspec import Struct
 
 from meadowcross.jobs import messages as jm
-from meadowcross.tickets.reading import TicketError, job_of, task_count
-from meadowcross.tickets.site import Submitter
+from meadowcross.openjd.reading import TicketError, job_of, task_count
+from meadowcross.openjd.site import Submitter
 
 TICKET_TIMES = 10
 MIB_IN_GB = 1024.0
@@ -165,7 +165,7 @@
         id=job,
         job_class=submitter.job_class,
         team=submitter.team,
-        kind=jm.Kind.ARRAY,
+        kind=jm.JobKind.ARRAY,
         priority=submitter.priority,
         tasks=step.tasks,
         cpus=step.cpus,
@@ -177,8 +177,8 @@
         spread=False,
         spot=submitter.spot,
         estimate_s=submitter.estimate_s,
-        checkpoint_s=0.0,
-        save_s=0.0,
+        checkpoint_interval_s=0.0,
+        checkpoint_save_s=0.0,
         types=step.types,
         zone=step.zone,
     )
--- a/meadowcross/tickets/signing.py
+++ b/meadowcross/openjd/signing.py
@@ -15,11 +15,11 @@
 from collections.abc import Callable
 from hashlib import sha256
 
-from meadowcross.common.logging import logger
+from meadowcross.common.logging import get_logger
 from meadowcross.common.types import Seconds
-from meadowcross.tickets.keys import NAME, KeyTrouble, read_private
+from meadowcross.openjd.keys import NAME, KeyTrouble, read_private
 
-log = logger("tickets")
+log = get_logger("tickets")
 
 WINDOW_S: Seconds = 300.0
 MAX_NONCES = 100_000
--- a/meadowcross/tickets/site.py
+++ b/meadowcross/openjd/site.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from meadowcross.common.settings import SettingsError, plain_values, read_xml
+from meadowcross.common.settings import SettingsError, read_plain_elements, read_xml
 from meadowcross.jobs.messages import Priority
 
 _Text = Annotated[str, Meta(min_length=1, max_length=200)]
@@ -57,7 +57,7 @@
         where = f"{path}: submitter {number}"
         if element.tag != "submitter":
             raise SettingsError(f"{path}: element <{element.tag}>: expected <submitter>")
-        values = plain_values(where, element, known, ("types", "zones"))
+        values = read_plain_elements(where, element, known, ("types", "zones"))
         try:
             made = msgspec.convert(values, Submitter, strict=False)
         except msgspec.ValidationError as error:
--- a/meadowcross/placement/engine.py
+++ b/meadowcross/placement/engine.py
@@ -14,97 +14,97 @@
 from math import inf
 from typing import NamedTuple
 
-from meadowcross.common.settings import Operator
+from meadowcross.common.settings import OperatorSettings
 from meadowcross.common.types import EPSILON, JobId, MachineId, MachineKind, Seconds
-from meadowcross.jobs.messages import JobSpec, Kind
+from meadowcross.jobs.messages import JobKind, JobSpec
 
 
 @dataclass(slots=True)
-class Offer:
+class Candidate:
     """A machine that may be given work: draining, silent or condemned ones are not offered."""
 
     machine: MachineId
     kind: MachineKind
     free_cpus: float
     free_gpus: float
-    free_memory: float
-    images: set[str]
-    fetching: set[str] = field(default_factory=set)
+    free_memory_gb: float
+    cached_images: set[str]
+    fetching_images: set[str] = field(default_factory=set)
     """Images that are being fetched there; they share the machine's rate."""
 
     def fits(self, spec: JobSpec) -> bool:
         return (
             spec.cpus <= self.free_cpus + EPSILON
             and spec.gpus <= self.free_gpus + EPSILON
-            and spec.memory_gb <= self.free_memory + EPSILON
+            and spec.memory_gb <= self.free_memory_gb + EPSILON
         )
 
-    def take(self, spec: JobSpec, sign: int = 1) -> None:
+    def allocate(self, spec: JobSpec, sign: int = 1) -> None:
         self.free_cpus -= sign * spec.cpus
         self.free_gpus -= sign * spec.gpus
-        self.free_memory -= sign * spec.memory_gb
+        self.free_memory_gb -= sign * spec.memory_gb
 
 
 @dataclass(slots=True)
-class Want:
+class PendingJob:
     """A job with tasks to place, and where its placed, not proven gone, tasks are."""
 
-    job: JobId
+    job_id: JobId
     spec: JobSpec
-    count: int
+    task_count: int
     rank: int
-    slack: Seconds
-    retrying: bool = False
-    borrowing: bool = False
-    guaranteed: int = 0
+    slack_s: Seconds
+    is_retrying: bool = False
+    is_borrowing: bool = False
+    guaranteed_tasks: int = 0
     """How many of its tasks are still within its team's guarantee."""
-    warm_only: bool = False
+    requires_cached_image: bool = False
     """Only a machine that holds the image can start it promptly, and it still may."""
-    start_slack: Seconds = inf
+    start_slack_s: Seconds = inf
     """How long it may still wait, its image fetched, for its class's aim on the start."""
-    run_s: Seconds = 0.0
+    expected_run_s: Seconds = 0.0
     """How long one of its tasks is expected to run."""
-    aged: bool = False
+    is_starved: bool = False
     """No task of it ever began, or none has gone on for long: it goes first, an array with one task."""
-    fetch_s: Seconds = 0.0
+    image_fetch_s: Seconds = 0.0
     """How long its image takes to fetch, alone on the best machine type."""
     siblings: dict[MachineId, tuple[str, int]] = field(default_factory=dict)
     """Per machine: its zone and how many of the job's tasks count there."""
 
-    def in_zone(self) -> Counter[str]:
+    def count_siblings_by_zone(self) -> Counter[str]:
         """How many of the job's tasks count in each zone."""
         counts: Counter[str] = Counter()
-        for zone, number in self.siblings.values():
-            counts[zone] += number
+        for zone, count in self.siblings.values():
+            counts[zone] += count
         return counts
 
 
 @dataclass(slots=True)
-class Room:
+class QuotaHeadroom:
     """What a team may still use; infinite where it has no limit."""
 
     cpus: float
     gpus: float
 
-    def tasks(self, spec: JobSpec) -> int:
-        most = 10**9
+    def max_tasks(self, spec: JobSpec) -> int:
+        limit = 10**9
         if spec.cpus > 0 and self.cpus < 1e12:
-            most = min(most, int((self.cpus + EPSILON) / spec.cpus))
+            limit = min(limit, int((self.cpus + EPSILON) / spec.cpus))
         if spec.gpus > 0 and self.gpus < 1e12:
-            most = min(most, int((self.gpus + EPSILON) / spec.gpus))
-        return max(0, most)
+            limit = min(limit, int((self.gpus + EPSILON) / spec.gpus))
+        return max(0, limit)
 
-    def take(self, spec: JobSpec, count: int) -> None:
+    def consume(self, spec: JobSpec, count: int) -> None:
         self.cpus -= spec.cpus * count
         self.gpus -= spec.gpus * count
 
 
-class Choice(NamedTuple):
-    job: JobId
+class Decision(NamedTuple):
+    job_id: JobId
     machines: list[MachineId]
 
 
-def allowed(spec: JobSpec, kind: MachineKind) -> bool:
+def is_kind_allowed(spec: JobSpec, kind: MachineKind) -> bool:
     return (
         (spec.spot or not kind.spot)
         and (spec.types is None or kind.type in spec.types)
@@ -112,7 +112,7 @@
     )
 
 
-class Shape(NamedTuple):
+class TaskShape(NamedTuple):
     """All that decides where a task fits: what finds no room for one finds none for its like."""
 
     cpus: float
@@ -123,17 +123,19 @@
     types: tuple[str, ...]
 
 
-def shape_of(spec: JobSpec) -> Shape:
-    return Shape(spec.cpus, spec.gpus, spec.memory_gb, spec.spot, spec.zone, tuple(spec.types or ()))
+def task_shape(spec: JobSpec) -> TaskShape:
+    return TaskShape(spec.cpus, spec.gpus, spec.memory_gb, spec.spot, spec.zone, tuple(spec.types or ()))
 
 
-def resource_term(spec: JobSpec, free_cpus: float, free_memory: float, weights: Operator) -> float:
-    cpu = (free_cpus - spec.cpus) / free_cpus * 100 if free_cpus > EPSILON else 0.0
-    memory = (free_memory - spec.memory_gb) / free_memory * 100 if free_memory > EPSILON else 0.0
-    return weights.alpha * cpu + weights.beta * memory
+def resource_term(spec: JobSpec, free_cpus: float, free_memory_gb: float, weights: OperatorSettings) -> float:
+    cpu_gap = (free_cpus - spec.cpus) / free_cpus * 100 if free_cpus > EPSILON else 0.0
+    memory_gap = (free_memory_gb - spec.memory_gb) / free_memory_gb * 100 if free_memory_gb > EPSILON else 0.0
+    return weights.alpha * cpu_gap + weights.beta * memory_gap
 
 
-def network_term(machine: MachineId, zone: str, siblings: dict[MachineId, tuple[str, int]], weights: Operator) -> float:
+def network_term(
+    machine: MachineId, zone: str, siblings: dict[MachineId, tuple[str, int]], weights: OperatorSettings
+) -> float:
     cost = 0.0
     for other, (other_zone, count) in siblings.items():
         if other == machine:
@@ -145,32 +147,46 @@
     return -cost
 
 
-def score(spec: JobSpec, offer: Offer, siblings: dict[MachineId, tuple[str, int]], weights: Operator) -> float:
-    network = network_term(offer.machine, offer.kind.zone, siblings, weights) if talks(spec) else 0.0
-    return weights.gamma * resource_term(spec, offer.free_cpus, offer.free_memory, weights) + weights.delta * network
+def score(
+    spec: JobSpec, candidate: Candidate, siblings: dict[MachineId, tuple[str, int]], weights: OperatorSettings
+) -> float:
+    network = (
+        network_term(candidate.machine, candidate.kind.zone, siblings, weights) if has_sibling_traffic(spec) else 0.0
+    )
+    return (
+        weights.gamma * resource_term(spec, candidate.free_cpus, candidate.free_memory_gb, weights)
+        + weights.delta * network
+    )
 
 
-def talks(spec: JobSpec) -> bool:
+def has_sibling_traffic(spec: JobSpec) -> bool:
     """Only gang siblings count as talking; arrays and services have no known traffic."""
-    return spec.kind is Kind.GANG
+    return spec.kind is JobKind.GANG
 
 
-def constrained(spec: JobSpec) -> bool:
+def has_topology_constraints(spec: JobSpec) -> bool:
     """Where one task may go depends on where the others are."""
-    return spec.one_zone or spec.spread or talks(spec)
+    return spec.one_zone or spec.spread or has_sibling_traffic(spec)
 
 
-def order(want: Want) -> tuple[bool, int, bool, bool, Seconds, JobId]:
+def queue_order(pending_job: PendingJob) -> tuple[bool, int, bool, bool, Seconds, JobId]:
     """What has waited too long to begin at all; else strictly by priority; then work inside a guarantee, retries, and
     least slack."""
-    return (not want.aged, want.rank, want.borrowing, not want.retrying, want.slack, want.job)
+    return (
+        not pending_job.is_starved,
+        pending_job.rank,
+        pending_job.is_borrowing,
+        not pending_job.is_retrying,
+        pending_job.slack_s,
+        pending_job.job_id,
+    )
 
 
-class Hold(NamedTuple):
+class Reservation(NamedTuple):
     """A machine where room is being made for a job bound by zones or a guarantee:
     nothing else but higher priority may take it."""
 
-    job: JobId
+    job_id: JobId
     rank: int
 
 
@@ -178,169 +194,177 @@
 """A fetch that takes longer decides when the task starts; below it the score alone spreads what is cold."""
 
 
-def fetch_tier(want: Want, offer: Offer) -> int:
+def fetch_tier(pending_job: PendingJob, candidate: Candidate) -> int:
     """How soon the task's image is there, and at whose cost; machines of a lower tier are offered first, and the
     score decides among equals. Fetches on one machine share its rate, so two images fetched there make both late: a
     machine that fetches another one is the last choice. An array joins a fetch under way, one for many tasks; a
     service's replica, which must find its image elsewhere when its machine is lost, begins one of its own first."""
-    if want.spec.image in offer.images:
+    if pending_job.spec.image in candidate.cached_images:
         return 0
-    if want.fetch_s < SLOW_FETCH_S:
+    if pending_job.image_fetch_s < SLOW_FETCH_S:
         return 1
-    if not offer.fetching:
-        return 1 if want.spec.kind is Kind.SERVICE else 2
-    if want.spec.image in offer.fetching:
-        return 2 if want.spec.kind is Kind.SERVICE else 1
+    if not candidate.fetching_images:
+        return 1 if pending_job.spec.kind is JobKind.SERVICE else 2
+    if pending_job.spec.image in candidate.fetching_images:
+        return 2 if pending_job.spec.kind is JobKind.SERVICE else 1
     return 3
 
 
-def may_enter(want: Want, hold: Hold | None) -> bool:
-    return hold is None or hold.job == want.job or want.rank < hold.rank
+def may_use_machine(pending_job: PendingJob, reservation: Reservation | None) -> bool:
+    return reservation is None or reservation.job_id == pending_job.job_id or pending_job.rank < reservation.rank
 
 
 def place(
-    offers: Iterable[Offer],
-    wants: Iterable[Want],
-    rooms: dict[str, Room],
-    weights: Operator,
-    holds: dict[MachineId, Hold] | None = None,
-) -> list[Choice]:
+    candidates: Iterable[Candidate],
+    pending_jobs: Iterable[PendingJob],
+    headroom_by_team: dict[str, QuotaHeadroom],
+    weights: OperatorSettings,
+    reservations: dict[MachineId, Reservation] | None = None,
+) -> list[Decision]:
     """Choose machines for as many tasks as fit, in queue order."""
-    offered = list(offers)
-    held = holds or {}
-    full: set[Shape] = set()
-    choices: list[Choice] = []
-    for want in sorted(wants, key=order):
-        spec = want.spec
-        shape = shape_of(spec)
-        plain = not constrained(spec)
-        if plain and shape in full:
+    available = list(candidates)
+    active_reservations = reservations or {}
+    full_shapes: set[TaskShape] = set()
+    decisions: list[Decision] = []
+    for pending_job in sorted(pending_jobs, key=queue_order):
+        spec = pending_job.spec
+        shape = task_shape(spec)
+        is_unconstrained = not has_topology_constraints(spec)
+        if is_unconstrained and shape in full_shapes:
             continue
-        room = rooms[spec.team]
-        count = min(want.count, room.tasks(spec))
-        if talks(spec) and count < want.count:
+        headroom = headroom_by_team[spec.team]
+        count = min(pending_job.task_count, headroom.max_tasks(spec))
+        if has_sibling_traffic(spec) and count < pending_job.task_count:
             continue
         if count == 0:
             continue
         fitting = [
-            o for o in offered if allowed(spec, o.kind) and o.fits(spec) and may_enter(want, held.get(o.machine))
+            o
+            for o in available
+            if is_kind_allowed(spec, o.kind)
+            and o.fits(spec)
+            and may_use_machine(pending_job, active_reservations.get(o.machine))
         ]
-        if plain:
-            machines = _fill(want, fitting, count, weights)
-            if len(machines) < count and not want.warm_only:
-                full.add(shape)
+        if is_unconstrained:
+            machines = _place_unconstrained(pending_job, fitting, count, weights)
+            if len(machines) < count and not pending_job.requires_cached_image:
+                full_shapes.add(shape)
         else:
-            machines = fill_constrained(want, fitting, count, weights)
+            machines = place_constrained(pending_job, fitting, count, weights)
         if machines:
-            room.take(spec, len(machines))
-            choices.append(Choice(want.job, machines))
+            headroom.consume(spec, len(machines))
+            decisions.append(Decision(pending_job.job_id, machines))
             # What is full now would only be asked again for each of the jobs behind.
-            offered = [o for o in offered if o.free_cpus > EPSILON]
-    return choices
+            available = [o for o in available if o.free_cpus > EPSILON]
+    return decisions
 
 
-def _fill(want: Want, fitting: list[Offer], count: int, weights: Operator) -> list[MachineId]:
+def _place_unconstrained(
+    pending_job: PendingJob, fitting: list[Candidate], count: int, weights: OperatorSettings
+) -> list[MachineId]:
     """The top score takes each task. Machines that hold the image are offered first:
     the smallest exception that spares starts an image fetch (see docs/design.md)."""
-    spec = want.spec
+    spec = pending_job.spec
     machines: list[MachineId] = []
 
-    def entry(offer: Offer) -> tuple[int, float, MachineId, Offer]:
-        return fetch_tier(want, offer), -score(spec, offer, {}, weights), offer.machine, offer
+    def entry(candidate: Candidate) -> tuple[int, float, MachineId, Candidate]:
+        return fetch_tier(pending_job, candidate), -score(spec, candidate, {}, weights), candidate.machine, candidate
 
-    heap = [entry(o) for o in fitting if not want.warm_only or spec.image in o.images]
+    heap = [entry(o) for o in fitting if not pending_job.requires_cached_image or spec.image in o.cached_images]
     heapq.heapify(heap)
     while heap and len(machines) < count:
-        tier, _, name, offer = heap[0]
-        offer.take(spec)
+        tier, _, machine, candidate = heap[0]
+        candidate.allocate(spec)
         if tier > 0:
-            offer.fetching.add(spec.image)
-        machines.append(name)
-        if offer.fits(spec):
-            heapq.heapreplace(heap, entry(offer))
+            candidate.fetching_images.add(spec.image)
+        machines.append(machine)
+        if candidate.fits(spec):
+            heapq.heapreplace(heap, entry(candidate))
         else:
             heapq.heappop(heap)
     return machines
 
 
-def fill_constrained(want: Want, fitting: list[Offer], count: int, weights: Operator) -> list[MachineId]:
+def place_constrained(
+    pending_job: PendingJob, fitting: list[Candidate], count: int, weights: OperatorSettings
+) -> list[MachineId]:
     """One zone, spread and gangs; a gang's tasks are all placed or none are."""
-    spec = want.spec
-    zones = {zone for zone, _ in want.siblings.values()}
-    if want.warm_only:
-        fitting = [o for o in fitting if spec.image in o.images]
+    spec = pending_job.spec
+    zones = {zone for zone, _ in pending_job.siblings.values()}
+    if pending_job.requires_cached_image:
+        fitting = [o for o in fitting if spec.image in o.cached_images]
     if spec.one_zone:
         # Old members hold their zone until they are gone.
-        chosen = sorted(zones or {o.kind.zone for o in fitting})
-        options = [[o for o in fitting if o.kind.zone == zone] for zone in chosen]
+        allowed_zones = sorted(zones or {o.kind.zone for o in fitting})
+        groups = [[o for o in fitting if o.kind.zone == zone] for zone in allowed_zones]
         if len(zones) > 1:
             return []
     else:
-        options = [fitting]
+        groups = [fitting]
     best: tuple[tuple[int, float], list[MachineId]] | None = None
-    for option in options:
-        total, machines = _greedy(want, option, count, weights)
-        if talks(spec) and len(machines) < count:
+    for group in groups:
+        total, machines = _place_greedily(pending_job, group, count, weights)
+        if has_sibling_traffic(spec) and len(machines) < count:
             continue
         if machines and (best is None or (len(machines), total) > (len(best[1]), best[0])):
             best = (total, machines)
     if best is None:
         return []
-    by_name = {o.machine: o for o in fitting}
-    for name in best[1]:
-        by_name[name].take(spec)
-        if spec.image not in by_name[name].images:
-            by_name[name].fetching.add(spec.image)
+    by_machine = {o.machine: o for o in fitting}
+    for machine in best[1]:
+        by_machine[machine].allocate(spec)
+        if spec.image not in by_machine[machine].cached_images:
+            by_machine[machine].fetching_images.add(spec.image)
     return best[1]
 
 
-def _greedy(
-    want: Want, option: list[Offer], count: int, weights: Operator
+def _place_greedily(
+    pending_job: PendingJob, group: list[Candidate], count: int, weights: OperatorSettings
 ) -> tuple[tuple[int, float], list[MachineId]]:
     """The machines, and how good they are: by the tiers of their fetches, then by score."""
-    spec = want.spec
+    spec = pending_job.spec
     # Where fetches are quick, zones and score alone decide, as the design has it.
-    slow = want.fetch_s >= SLOW_FETCH_S
-    tiers = {o.machine: -fetch_tier(want, o) if slow else 0 for o in option}
-    siblings = dict(want.siblings)
-    in_zone = want.in_zone()
+    is_slow_fetch = pending_job.image_fetch_s >= SLOW_FETCH_S
+    tiers = {o.machine: -fetch_tier(pending_job, o) if is_slow_fetch else 0 for o in group}
+    siblings = dict(pending_job.siblings)
+    count_by_zone = pending_job.count_siblings_by_zone()
     # Half of all the job's tasks, rounded up, however many of them are placed.
-    most_in_zone = (spec.tasks + 1) // 2 if spec.spread else 10**9
-    total, tier = 0.0, 0
+    max_per_zone = (spec.tasks + 1) // 2 if spec.spread else 10**9
+    total_score, total_tier = 0.0, 0
     machines: list[MachineId] = []
     for _ in range(count):
-        best: tuple[int, float, Offer] | None = None
-        for offer in option:
-            if in_zone[offer.kind.zone] >= most_in_zone or not offer.fits(spec):
+        best: tuple[int, float, Candidate] | None = None
+        for candidate in group:
+            if count_by_zone[candidate.kind.zone] >= max_per_zone or not candidate.fits(spec):
                 continue
-            if best is not None and tiers[offer.machine] < best[0]:
+            if best is not None and tiers[candidate.machine] < best[0]:
                 continue
-            value = score(spec, offer, siblings, weights)
-            if best is None or (tiers[offer.machine], value) > best[:2]:
-                best = (tiers[offer.machine], value, offer)
+            candidate_score = score(spec, candidate, siblings, weights)
+            if best is None or (tiers[candidate.machine], candidate_score) > best[:2]:
+                best = (tiers[candidate.machine], candidate_score, candidate)
         if best is None:
             break
-        _, value, offer = best
-        offer.take(spec)
-        total += value
-        tier += tiers[offer.machine]
-        if slow and spec.kind is Kind.SERVICE and tiers[offer.machine] == -1:
+        _, candidate_score, candidate = best
+        candidate.allocate(spec)
+        total_score += candidate_score
+        total_tier += tiers[candidate.machine]
+        if is_slow_fetch and spec.kind is JobKind.SERVICE and tiers[candidate.machine] == -1:
             # Its next replica would join the fetch that this one begins.
-            tiers[offer.machine] = -2
-        machines.append(offer.machine)
-        in_zone[offer.kind.zone] += 1
-        zone, number = siblings.get(offer.machine, (offer.kind.zone, 0))
-        siblings[offer.machine] = (zone, number + 1)
-    for name in machines:
-        next(o for o in option if o.machine == name).take(spec, -1)
-    return (tier, total), machines
+            tiers[candidate.machine] = -2
+        machines.append(candidate.machine)
+        count_by_zone[candidate.kind.zone] += 1
+        zone, sibling_count = siblings.get(candidate.machine, (candidate.kind.zone, 0))
+        siblings[candidate.machine] = (zone, sibling_count + 1)
+    for machine in machines:
+        next(o for o in group if o.machine == machine).allocate(spec, -1)
+    return (total_tier, total_score), machines
 
 
-def slots(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
+def count_slots(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
     """How many tasks of the job a room holds."""
-    most = cpus / spec.cpus
+    limit = cpus / spec.cpus
     if spec.gpus > 0:
-        most = min(most, gpus / spec.gpus)
+        limit = min(limit, gpus / spec.gpus)
     if spec.memory_gb > 0:
-        most = min(most, memory_gb / spec.memory_gb)
-    return int(most + EPSILON)
+        limit = min(limit, memory_gb / spec.memory_gb)
+    return int(limit + EPSILON)
--- a/meadowcross/rebuild/messages.py
+++ b/meadowcross/recovery/messages.py
@@ -6,65 +6,65 @@
 
 from msgspec import Raw, Struct, field
 
-from meadowcross.common.types import Mark, NodeName, WallTime
+from meadowcross.common.types import NodeName, Revision, WallTime
 
 LEADER_KEY = "lead"
-ERA_KEY = "era"
-PROGRESS_KEY = "rebuild"
+EPOCH_KEY = "era"
+RECOVERY_PROGRESS_KEY = "rebuild"
 
 
-class EraRecord(Struct, frozen=True):
+class StoreEpochRecord(Struct, frozen=True):
     """Under `era`, never rewritten within an era: everything that is written is conditional on it."""
 
     number: int = field(name="n")
-    name: str = field(name="x")
+    unique_id: str = field(name="x")
 
 
-class Stage(IntEnum):
+class RecoveryStage(IntEnum):
     """How far a rebuild has come."""
 
-    OPEN = 1
+    OPEN_JOBS = 1
     """Open jobs, tasks and machines come back; users are told to come again."""
-    ENDED = 2
+    ENDED_JOBS = 2
     """Ended jobs come back; who leads answers for them from what it gathered."""
     SETTLING = 3
     """All that was known is back; jobs that nobody knows may still be somebody's."""
 
 
-class Progress(Struct, frozen=True):
+class RecoveryProgress(Struct, frozen=True):
     """Under `rebuild`, from the beginning of an era until all is settled."""
 
-    era: int = field(name="n")
-    phase: Stage = field(name="p")
-    until: WallTime | None = field(name="u", default=None)
+    epoch: int = field(name="n")
+    stage: RecoveryStage = field(name="p")
+    settling_until: WallTime | None = field(name="u", default=None)
     """While settling: until then jobs that nobody knows are not said to be unknown; none: for ever."""
-    known: list[str] = field(name="j", default_factory=list)
+    proven_jobs: list[str] = field(name="j", default_factory=list)
     """Jobs of which nothing is left but tasks on machines: that proves that they were submitted, so they stay known,
     also once time is up, until their users submit them again."""
 
 
-MOST_KNOWN = 400
+MAX_PROVEN_JOBS = 400
 """Of them; what a value of the state service holds with room to spare."""
 
 
-class PictureWanted(Struct, tag="picture?", tag_field="kind"):
+class ReplicaPartRequest(Struct, tag="picture?", tag_field="kind"):
     """What did you follow before the loss? From this key on."""
 
     number: int
-    after: str = ""
+    after_key: str = field(name="after", default="")
 
 
-class PicturePart(Struct, tag="picture", tag_field="kind"):
+class ReplicaPart(Struct, tag="picture", tag_field="kind"):
     """Keys in order, with their versions; `era` and `revision` of the picture, none where there is no picture."""
 
     number: int
     node: NodeName
-    era: int | None = None
-    revision: Mark = Mark(0)
-    whole: bool = False
+    epoch: int | None = field(name="era", default=None)
+    revision: Revision = Revision(0)
+    is_complete: bool = field(name="whole", default=False)
     """It was a leader's own, which lacks nothing that was stored."""
-    items: list[tuple[str, Mark, Raw]] = []
-    more: bool = False
+    items: list[tuple[str, Revision, Raw]] = []
+    has_more: bool = field(name="more", default=False)
 
 
-Message = PictureWanted | PicturePart
+Message = ReplicaPartRequest | ReplicaPart
--- a/meadowcross/relay/pool.py
+++ b/meadowcross/relay/pool.py
@@ -12,34 +12,34 @@
 from msgspec import Raw
 
 from meadowcross.common.clock import Clock
-from meadowcross.common.http import HttpClient, NotSent, Reply, Unanswered
-from meadowcross.common.logging import logger
+from meadowcross.common.http import ClientResponse, ConnectionFailedError, HttpClient, NoResponseError
+from meadowcross.common.logging import get_logger
 from meadowcross.common.settings import RelayMode
-from meadowcross.common.types import Address, Instant, MachineId, NodeName, ReportVersion, Seconds, Token
+from meadowcross.common.types import Address, FencingToken, HeartbeatVersion, Instant, MachineId, NodeName, Seconds
 from meadowcross.relay import messages as m
-from meadowcross.relay.assignment import Assignment, RelayRoom
-from meadowcross.relay.relay import RENEW_EVERY_S
-from meadowcross.store.budget import Budget
-from meadowcross.workers.commands import DIRECT_S, Post
-from meadowcross.workers.roster import Machine, Roster
-from meadowcross.workers.visitors import heard_window
+from meadowcross.relay.assignment import RelayAssignment, RelayCapacity
+from meadowcross.relay.relay import RENEWAL_INTERVAL_S
+from meadowcross.store.token_bucket import TokenBucket
+from meadowcross.workers.dispatcher import COMMAND_TIMEOUT_S, SendCommands
+from meadowcross.workers.heartbeat_tracker import silence_window
+from meadowcross.workers.registry import Machine, WorkerRegistry
 
-log = logger("relay")
+log = get_logger("relay")
 
-GRANT_S: Seconds = 3.0
+GRANT_DURATION_S: Seconds = 3.0
 """Renewed each second. Without one a relay turns its workers away, which leaves them most of half a lease."""
-LINK_S: Seconds = 0.5
+LINK_MARGIN_S: Seconds = 0.5
 """What a question may take on the link beyond the time that the relay gives the worker."""
-ANSWER_S: Seconds = 4.0
-NEXT_NODE_S: Seconds = 1.0
+WORKER_RESPONSE_TIMEOUT_S: Seconds = 4.0
+WORKER_RETRY_DELAY_S: Seconds = 1.0
 """A worker waits so long for an answer, and then before it tries the next node (the protocol)."""
-MARGIN_S: Seconds = 1.0
+CHECK_INTERVAL_S: Seconds = 1.0
 """Between looks at the relays."""
 MOVES_PER_S = 200.0
-FORGIVE_S: Seconds = 30.0
+AVOIDANCE_RESET_S: Seconds = 30.0
 """A relay that did not serve a worker is tried for it again after so long."""
-ON_ABOVE = 1.0
-OFF_BELOW = 0.75
+ENABLE_ABOVE = 1.0
+DISABLE_BELOW = 0.75
 """Relays are used from as many workers on as the leader's sockets allow, until well below that."""
 
 
@@ -50,21 +50,21 @@
     relay_room: int | None
 
 
-class Link(Protocol):
+class RelayLink(Protocol):
     """Of the controllers' link, what a leader with relays needs. `ask_relay` raises NotSent and Unanswered."""
 
-    def send_relay(self, message: m.Grant | m.ResendWanted, peer: NodeName) -> bool: ...
+    def send_relay(self, message: m.RelayGrant | m.ResendRequest, peer: NodeName) -> bool: ...
     async def ask_relay(
-        self, peer: NodeName, make: Callable[[int], m.CommandsPassed], timeout: Seconds
-    ) -> m.CommandsAnswered: ...
+        self, peer: NodeName, make_request: Callable[[int], m.ForwardedCommands], timeout_s: Seconds
+    ) -> m.CommandsAnswer: ...
 
 
-def direct_post(http: HttpClient) -> Post:
+def direct_sender(http: HttpClient) -> SendCommands:
     """Commands to a worker's own address, from here."""
 
-    async def post(machine: Machine, body: bytes) -> Reply:
-        assert machine.addr is not None
-        return await http.call("POST", machine.addr, "/commands", body, DIRECT_S)
+    async def post(machine: Machine, body: bytes) -> ClientResponse:
+        assert machine.address is not None
+        return await http.call("POST", machine.address, "/commands", body, COMMAND_TIMEOUT_S)
 
     return post
 
@@ -74,8 +74,8 @@
         self,
         clock: Clock,
         node: NodeName,
-        token: Token,
-        link: Link,
+        token: FencingToken,
+        link: RelayLink,
         http: HttpClient,
         brief: HttpClient,
         mode: RelayMode,
@@ -92,130 +92,130 @@
         self._node = node
         self._token = token
         self._link = link
-        self._post_here = direct_post(http)
-        self._post_briefly = direct_post(brief)
+        self._send_from_here = direct_sender(http)
+        self._send_without_keepalive = direct_sender(brief)
         self._mode = mode
         self._own_room = own_room
         self._zones = zones
-        self._window_s = heard_window(report_s) + RENEW_EVERY_S
-        self._move_s = 1.25 * report_s + ANSWER_S + NEXT_NODE_S
-        self._late_s = max(0.0, self._move_s + MARGIN_S - silent_s)
+        self._window_s = silence_window(report_s) + RENEWAL_INTERVAL_S
+        self._move_s = 1.25 * report_s + WORKER_RESPONSE_TIMEOUT_S + WORKER_RETRY_DELAY_S
+        self._late_s = max(0.0, self._move_s + CHECK_INTERVAL_S - silent_s)
         self._peers = peers
-        self._roster: Roster | None = None
-        self._wanted = mode is RelayMode.ALWAYS
-        self._forgave_at = Instant(clock.seconds())
-        self._moves = Budget(clock, MOVES_PER_S, MOVES_PER_S)
-        self.assignment = Assignment()
+        self._registry: WorkerRegistry | None = None
+        self._is_enabled = mode is RelayMode.ALWAYS
+        self._avoidance_reset_at = Instant(clock.seconds())
+        self._move_rate = TokenBucket(clock, MOVES_PER_S, MOVES_PER_S)
+        self.assignment = RelayAssignment()
 
     @property
     def now(self) -> Instant:
         return Instant(self._clock.seconds())
 
     @property
-    def count(self) -> int:
+    def relay_count(self) -> int:
         """Relays that live now."""
         return len(self.assignment.relays)
 
-    def serves(self, roster: Roster) -> None:
+    def set_registry(self, registry: WorkerRegistry) -> None:
         """The term's machines are these."""
-        self._roster = roster
+        self._registry = registry
 
-    def grant(self) -> None:
+    def renew_grants(self) -> None:
         """Each second: who may answer for us, as long as relays are of use."""
-        self._wanted = self._is_wanted()
-        living: dict[NodeName, RelayRoom] = {}
-        if self._wanted:
+        self._is_enabled = self._should_be_enabled()
+        living: dict[NodeName, RelayCapacity] = {}
+        if self._is_enabled:
             for peer in self._peers():
-                message = m.Grant(self._node, self._token, GRANT_S)
+                message = m.RelayGrant(self._node, self._token, GRANT_DURATION_S)
                 if peer.relay_room is not None and self._link.send_relay(message, peer.node):
-                    living[peer.node] = RelayRoom(self._zones.get(peer.node, ""), peer.relay_room)
+                    living[peer.node] = RelayCapacity(self._zones.get(peer.node, ""), peer.relay_room)
         for node in [node for node in self.assignment.relays if node not in living]:
-            self._lost(node)
+            self._remove_relay(node)
         for node in living.keys() - self.assignment.relays.keys():
-            log.info("relay %s serves, for %d workers at the most", node, living[node].workers)
+            log.info("relay %s serves, for %d workers at the most", node, living[node].max_workers)
         self.assignment.relays = living
-        self._excuse_silent()
-        if self.now - self._forgave_at >= FORGIVE_S:
-            self._forgave_at = self.now
-            self.assignment.forgive()
+        self._extend_grace()
+        if self.now - self._avoidance_reset_at >= AVOIDANCE_RESET_S:
+            self._avoidance_reset_at = self.now
+            self.assignment.reset_avoidance()
 
-    def _is_wanted(self) -> bool:
+    def _should_be_enabled(self) -> bool:
         if self._mode is not RelayMode.AUTO:
             return self._mode is RelayMode.ALWAYS
-        machines = len(self._roster.machines) if self._roster is not None else 0
-        return machines > self._own_room * (OFF_BELOW if self._wanted else ON_ABOVE)
+        machines = len(self._registry.machines) if self._registry is not None else 0
+        return machines > self._own_room * (DISABLE_BELOW if self._is_enabled else ENABLE_ABOVE)
 
-    def peer_lost(self, peer: NodeName) -> None:
+    def on_peer_lost(self, peer: NodeName) -> None:
         """The link to a peer was closed."""
         if peer in self.assignment.relays:
-            self._lost(peer)
+            self._remove_relay(peer)
 
-    def _lost(self, node: NodeName) -> None:
+    def _remove_relay(self, node: NodeName) -> None:
         """A relay's silence is not its workers': they get the time to come to another node."""
-        lost = self.assignment.lose(node)
+        lost = self.assignment.remove_relay(node)
         log.info("relay %s serves no more, %d workers come by another way", node, len(lost))
-        for name in lost:
-            machine = self._roster.machines.get(name) if self._roster is not None else None
+        for machine_id in lost:
+            machine = self._registry.machines.get(machine_id) if self._registry is not None else None
             if machine is not None:
-                machine.excused_until = Instant(self.now + self._move_s)
+                machine.grace_until = Instant(self.now + self._move_s)
 
-    def _excuse_silent(self) -> None:
+    def _extend_grace(self) -> None:
         """Where most workers of a relay are silent at once, it is the relay that they can't reach, or that we don't
         hear through: they get the time to come by another way, counted from when they were heard last. Before that many
         are silent the first would be given up, so that none is before it can have come."""
-        if self._roster is None:
+        if self._registry is None:
             return
-        since = self.now - self._window_s
+        silent_since = self.now - self._window_s
         for node in self.assignment.relays:
             machines = [
                 machine
                 for name in self.assignment.workers_of(node)
-                if (machine := self._roster.machines.get(name)) is not None and machine.heard_at is not None
+                if (machine := self._registry.machines.get(name)) is not None and machine.last_contact_at is not None
             ]
-            silent = [machine for machine in machines if (machine.heard_at or 0.0) < since]
-            excused_s = self._move_s if len(silent) * 2 > len(machines) else self._late_s
+            silent = [machine for machine in machines if (machine.last_contact_at or 0.0) < silent_since]
+            grace_s = self._move_s if len(silent) * 2 > len(machines) else self._late_s
             for machine in silent:
-                machine.excused_until = Instant((machine.heard_at or 0.0) + excused_s)
+                machine.grace_until = Instant((machine.last_contact_at or 0.0) + grace_s)
 
     # What relays say
 
-    def arrived(self, machine: Machine, via: NodeName | None) -> NodeName | None:
+    def assign_relay(self, machine: Machine, via: NodeName | None) -> NodeName | None:
         """A newest report came through this relay, or to us: the relay to send the worker to, or None to let it
         stay."""
         via = via or self._node
-        if not self._wanted or not self.assignment.relays:
+        if not self._is_enabled or not self.assignment.relays:
             return None
-        if self.assignment.relay_of(machine.id) != via and not self._moves.try_take():
+        if self.assignment.relay_of(machine.id) != via and not self._move_rate.try_acquire():
             # Moved later: so many new connections at once would hold up whom the relays serve already.
             return None
-        return self.assignment.arrived(machine.id, machine.kind.zone, via)
+        return self.assignment.on_heartbeat(machine.id, machine.kind.zone, via)
 
-    def renewed(self, renewals: m.Renewals) -> None:
+    def apply_renewals(self, renewals: m.HeartbeatRenewals) -> None:
         """Reports that a relay answered by itself. They renew what is heard and take nothing away; one that repeats
         another report than the newest that we know is asked for whole."""
-        if renewals.token != self._token or self._roster is None:
+        if renewals.token != self._token or self._registry is None:
             return
-        wanted: list[MachineId] = []
-        for report in renewals.reports:
-            machine = self._roster.machines.get(report.machine)
+        resend: list[MachineId] = []
+        for renewal in renewals.renewals:
+            machine = self._registry.machines.get(renewal.machine)
             if machine is None:
-                wanted.append(report.machine)
-            elif not self._roster.renew(
+                resend.append(renewal.machine)
+            elif not self._registry.apply_renewal(
                 machine,
-                ReportVersion(report.session, report.seq),
-                ReportVersion(report.session, report.whole_seq),
+                HeartbeatVersion(renewal.incarnation, renewal.seq),
+                HeartbeatVersion(renewal.incarnation, renewal.full_seq),
                 self.now,
             ):
-                wanted.append(machine.id)
-        if wanted:
-            self._link.send_relay(m.ResendWanted(self._token, wanted), renewals.node)
+                resend.append(machine.id)
+        if resend:
+            self._link.send_relay(m.ResendRequest(self._token, resend), renewals.node)
 
-    def held(self, sessions: m.SessionsHeld) -> None:
+    def adopt_workers(self, relayed: m.RelayedWorkers) -> None:
         """The sessions that a relay has already as our term begins; commands for these machines go through it."""
-        if sessions.token == self._token and sessions.node in self.assignment.relays:
-            for machine in sessions.machines:
+        if relayed.token == self._token and relayed.node in self.assignment.relays:
+            for machine in relayed.machines:
                 if self.assignment.relay_of(machine) is None:
-                    self.assignment.settle(machine, sessions.node)
+                    self.assignment.assign(machine, relayed.node)
 
     def forget(self, machine: MachineId) -> None:
         """The machine is gone."""
@@ -223,21 +223,23 @@
 
     # What goes through them
 
-    async def post(self, machine: Machine, body: bytes) -> Reply:
+    async def send_commands(self, machine: Machine, body: bytes) -> ClientResponse:
         """Commands to a worker, through the relay that has its session, or from here. Raises NotSent where they were
         certainly not sent, else Unanswered; a link that is lost makes all that is open on it unanswered."""
-        assert machine.addr is not None
+        assert machine.address is not None
         relay = self.assignment.relay_of(machine.id)
         if relay is None or relay not in self.assignment.relays:
-            return await (self._post_briefly if self._wanted else self._post_here)(machine, body)
-        return await self._post_through(relay, machine.addr, body)
+            return await (self._send_without_keepalive if self._is_enabled else self._send_from_here)(machine, body)
+        return await self._send_through(relay, machine.address, body)
 
-    async def _post_through(self, relay: NodeName, address: Address, body: bytes) -> Reply:
+    async def _send_through(self, relay: NodeName, address: Address, body: bytes) -> ClientResponse:
         answer = await self._link.ask_relay(
-            relay, lambda number: m.CommandsPassed(number, self._token, address, Raw(body)), DIRECT_S + LINK_S
+            relay,
+            lambda number: m.ForwardedCommands(number, self._token, address, Raw(body)),
+            COMMAND_TIMEOUT_S + LINK_MARGIN_S,
         )
-        if answer.outcome is m.Outcome.NOT_SENT:
-            raise NotSent(f"{address} by {relay}")
-        if answer.outcome is m.Outcome.UNANSWERED:
-            raise Unanswered(f"{address} by {relay}")
-        return Reply(answer.status, bytes(answer.body))
+        if answer.outcome is m.DeliveryOutcome.NOT_SENT:
+            raise ConnectionFailedError(f"{address} by {relay}")
+        if answer.outcome is m.DeliveryOutcome.UNANSWERED:
+            raise NoResponseError(f"{address} by {relay}")
+        return ClientResponse(answer.status, bytes(answer.body))
--- a/meadowcross/relay/relay.py
+++ b/meadowcross/relay/relay.py
@@ -15,51 +15,51 @@
 from msgspec import Raw
 
 from meadowcross.common.clock import Clock
-from meadowcross.common.http import Answer, HttpClient, NotSent, Unanswered, reason
-from meadowcross.common.logging import logger
-from meadowcross.common.types import Instant, MachineId, NodeName, Seconds, Token
+from meadowcross.common.http import ConnectionFailedError, HttpClient, NoResponseError, ServerResponse, error_response
+from meadowcross.common.logging import get_logger
+from meadowcross.common.types import FencingToken, Instant, MachineId, NodeName, Seconds
 from meadowcross.relay import messages as m
 from meadowcross.workers import messages as wm
-from meadowcross.workers.commands import DIRECT_S
+from meadowcross.workers.dispatcher import COMMAND_TIMEOUT_S
 
-log = logger("relay")
+log = get_logger("relay")
 
-PASS_S: Seconds = 3.0
+FORWARD_TIMEOUT_S: Seconds = 3.0
 """A worker waits 4 s for its answer (the protocol)."""
-RENEW_EVERY_S: Seconds = 0.5
-SESSION_KEPT_S: Seconds = 60.0
+RENEWAL_INTERVAL_S: Seconds = 0.5
+WORKER_RETENTION_S: Seconds = 60.0
 """A worker that has not come for so long is at another node, or gone."""
 
 
-class Link(Protocol):
+class LeaderLink(Protocol):
     """Of the controllers' link, what a relay needs. `ask_leader` raises NotSent and Unanswered."""
 
-    def send_relay(self, message: m.Renewals | m.SessionsHeld, peer: NodeName) -> bool: ...
+    def send_relay(self, message: m.HeartbeatRenewals | m.RelayedWorkers, peer: NodeName) -> bool: ...
     async def ask_leader(
-        self, leader: NodeName, make: Callable[[int], m.ReportPassed], timeout: Seconds
-    ) -> m.ReportAnswered: ...
+        self, leader: NodeName, make_request: Callable[[int], m.ForwardedHeartbeat], timeout_s: Seconds
+    ) -> m.HeartbeatAnswer: ...
 
 
 @dataclass(slots=True)
-class Session:
+class RelayedWorker:
     """A worker that reports here: its last whole report, and the newest one that was answered."""
 
-    whole: wm.Report
-    settled: bool
+    full_heartbeat: wm.Heartbeat
+    is_repeatable: bool
     """The leader has nothing to say to that report."""
     seq: int
-    came_at: Instant
+    last_heartbeat_at: Instant
 
-    def repeats(self, report: wm.Report) -> bool:
+    def is_repeated_by(self, heartbeat: wm.Heartbeat) -> bool:
         """Whether a newer report says what the last whole one said, to which the leader has nothing to say."""
         return (
-            self.settled
-            and report.seq > self.seq
-            and report.session == self.whole.session
-            and report.token == self.whole.token
-            and report.addr == self.whole.addr
-            and report.notice_s is None
-            and report.tasks == self.whole.tasks
+            self.is_repeatable
+            and heartbeat.seq > self.seq
+            and heartbeat.incarnation == self.full_heartbeat.incarnation
+            and heartbeat.token == self.full_heartbeat.token
+            and heartbeat.address == self.full_heartbeat.address
+            and heartbeat.notice_s is None
+            and heartbeat.tasks == self.full_heartbeat.tasks
         )
 
 
@@ -68,153 +68,157 @@
         self,
         clock: Clock,
         node: NodeName,
-        link: Callable[[], Link],
+        link: Callable[[], LeaderLink],
         http: HttpClient,
     ) -> None:
         self._clock = clock
         self._node = node
         self._link = link
         self._http = http
-        self._grant: m.Grant | None = None
-        self._until = Instant(0.0)
-        self._highest = Token(0)
-        self._sessions: dict[MachineId, Session] = {}
-        self._renewed: dict[MachineId, m.Renewal] = {}
-        self._flush_set = False
+        self._grant: m.RelayGrant | None = None
+        self._grant_expires_at = Instant(0.0)
+        self._highest_token = FencingToken(0)
+        self._workers: dict[MachineId, RelayedWorker] = {}
+        self._pending_renewals: dict[MachineId, m.HeartbeatRenewal] = {}
+        self._is_flush_scheduled = False
 
     @property
     def now(self) -> Instant:
         return Instant(self._clock.seconds())
 
-    def granted(self) -> m.Grant | None:
+    def active_grant(self) -> m.RelayGrant | None:
         """The grant by which this node answers workers now; None where it must not."""
-        if self._grant is not None and self.now < self._until and self._grant.token >= self._highest:
+        if self._grant is not None and self.now < self._grant_expires_at and self._grant.token >= self._highest_token:
             return self._grant
         return None
 
-    def take_grant(self, grant: m.Grant) -> None:
+    def accept_grant(self, grant: m.RelayGrant) -> None:
         """A leader's word. One of an earlier term than was seen anywhere counts for nothing."""
-        if grant.token < self._highest:
+        if grant.token < self._highest_token:
             return
-        new = self._grant is None or self._grant.token != grant.token
-        if new:
-            log.info("relays for %s, token %d, %d sessions held", grant.node, grant.token, len(self._sessions))
+        is_new_term = self._grant is None or self._grant.token != grant.token
+        if is_new_term:
+            log.info("relays for %s, token %d, %d sessions held", grant.node, grant.token, len(self._workers))
             # Whole reports were judged by another term: the next one of each worker is passed on.
-            for session in self._sessions.values():
-                session.settled = False
-            self._renewed.clear()
-        self._grant, self._until = grant, Instant(self.now + grant.expires_s)
-        self._highest = grant.token
-        if new:
-            self._tell_held(grant)
-
-    def _tell_held(self, grant: m.Grant) -> None:
-        held = list(self._sessions)
-        for first in range(0, len(held), m.MAX_LISTED):
-            part = held[first : first + m.MAX_LISTED]
-            self._link().send_relay(m.SessionsHeld(self._node, grant.token, part), grant.node)
-
-    def token_seen(self, token: Token) -> None:
+            for worker in self._workers.values():
+                worker.is_repeatable = False
+            self._pending_renewals.clear()
+        self._grant, self._grant_expires_at = grant, Instant(self.now + grant.expires_s)
+        self._highest_token = grant.token
+        if is_new_term:
+            self._announce_workers(grant)
+
+    def _announce_workers(self, grant: m.RelayGrant) -> None:
+        machines = list(self._workers)
+        for first in range(0, len(machines), m.MAX_MACHINES_PER_MESSAGE):
+            part = machines[first : first + m.MAX_MACHINES_PER_MESSAGE]
+            self._link().send_relay(m.RelayedWorkers(self._node, grant.token, part), grant.node)
+
+    def on_token_seen(self, token: FencingToken) -> None:
         """A token was seen, by whatever way: an earlier leader's grant is worth nothing from now on."""
-        if token > self._highest:
-            self._highest = token
+        if token > self._highest_token:
+            self._highest_token = token
             if self._grant is not None:
                 log.info("relays for %s no more: token %d was seen", self._grant.node, token)
 
-    def resend(self, wanted: m.ResendWanted) -> None:
+    def request_full_heartbeats(self, request: m.ResendRequest) -> None:
         """The leader wants the next reports of these machines whole."""
-        if self._grant is not None and wanted.token == self._grant.token:
-            for machine in wanted.machines:
-                if (session := self._sessions.get(machine)) is not None:
-                    session.settled = False
+        if self._grant is not None and request.token == self._grant.token:
+            for machine in request.machines:
+                if (worker := self._workers.get(machine)) is not None:
+                    worker.is_repeatable = False
 
     # Reports
 
-    def answer(self, report: wm.Report) -> Answer | None:
+    def answer_unchanged(self, heartbeat: wm.Heartbeat) -> ServerResponse | None:
         """The answer to a report that says nothing new; None: it must be passed on, or nothing is granted."""
-        self.token_seen(report.token)
-        grant = self.granted()
-        session = self._sessions.get(report.machine)
-        if grant is None or session is None or not session.repeats(report):
+        self.on_token_seen(heartbeat.token)
+        grant = self.active_grant()
+        worker = self._workers.get(heartbeat.machine)
+        if grant is None or worker is None or not worker.is_repeated_by(heartbeat):
             return None
         # Put last, so that whoever came least lately stays first.
-        del self._sessions[report.machine]
-        self._sessions[report.machine] = session
-        session.seq, session.came_at = report.seq, self.now
-        self._renew(report, session)
-        return Answer(200, wm.encode(wm.Response(grant.token, [])) + b"\n")
-
-    def _renew(self, report: wm.Report, session: Session) -> None:
-        self._renewed[report.machine] = m.Renewal(report.machine, report.session, session.whole.seq, report.seq)
-        if not self._flush_set:
-            self._flush_set = True
-            self._clock.callLater(RENEW_EVERY_S, self._flush)
-
-    def _flush(self) -> None:
-        self._flush_set = False
-        renewed, self._renewed = list(self._renewed.values()), {}
-        grant = self.granted()
+        del self._workers[heartbeat.machine]
+        self._workers[heartbeat.machine] = worker
+        worker.seq, worker.last_heartbeat_at = heartbeat.seq, self.now
+        self._record_renewal(heartbeat, worker)
+        return ServerResponse(200, wm.encode(wm.HeartbeatResponse(grant.token, [])) + b"\n")
+
+    def _record_renewal(self, heartbeat: wm.Heartbeat, worker: RelayedWorker) -> None:
+        self._pending_renewals[heartbeat.machine] = m.HeartbeatRenewal(
+            heartbeat.machine, heartbeat.incarnation, worker.full_heartbeat.seq, heartbeat.seq
+        )
+        if not self._is_flush_scheduled:
+            self._is_flush_scheduled = True
+            self._clock.callLater(RENEWAL_INTERVAL_S, self._flush_renewals)
+
+    def _flush_renewals(self) -> None:
+        self._is_flush_scheduled = False
+        renewals, self._pending_renewals = list(self._pending_renewals.values()), {}
+        grant = self.active_grant()
         if grant is not None:
-            for first in range(0, len(renewed), m.MAX_LISTED):
-                part = renewed[first : first + m.MAX_LISTED]
-                self._link().send_relay(m.Renewals(self._node, grant.token, part), grant.node)
+            for first in range(0, len(renewals), m.MAX_MACHINES_PER_MESSAGE):
+                part = renewals[first : first + m.MAX_MACHINES_PER_MESSAGE]
+                self._link().send_relay(m.HeartbeatRenewals(self._node, grant.token, part), grant.node)
         self._forget_old()
 
     def _forget_old(self) -> None:
-        oldest = self.now - SESSION_KEPT_S
-        while self._sessions:
-            machine, session = next(iter(self._sessions.items()))
-            if session.came_at >= oldest:
+        oldest = self.now - WORKER_RETENTION_S
+        while self._workers:
+            machine, worker = next(iter(self._workers.items()))
+            if worker.last_heartbeat_at >= oldest:
                 break
-            del self._sessions[machine]
+            del self._workers[machine]
 
-    async def pass_on(self, report: wm.Report, body: bytes) -> Answer | None:
+    async def forward_heartbeat(self, heartbeat: wm.Heartbeat, body: bytes) -> ServerResponse | None:
         """A report that says something new goes to the leader, and its answer comes back; None: turn the worker away
         as a node that does not lead."""
-        grant = self.granted()
+        grant = self.active_grant()
         if grant is None:
             return None
         try:
-            answered = await self._link().ask_leader(
-                grant.node, lambda number: m.ReportPassed(number, self._node, grant.token, Raw(body)), PASS_S
+            answer = await self._link().ask_leader(
+                grant.node,
+                lambda number: m.ForwardedHeartbeat(number, self._node, grant.token, Raw(body)),
+                FORWARD_TIMEOUT_S,
             )
-        except (NotSent, Unanswered) as error:
-            log.debug("report of %s not answered: %s", report.machine, error)
-            return reason(503, "the leader gives no answer", 1)
-        now = self.granted()
-        if now is None or now.token != grant.token:
+        except (ConnectionFailedError, NoResponseError) as error:
+            log.debug("report of %s not answered: %s", heartbeat.machine, error)
+            return error_response(503, "the leader gives no answer", 1)
+        current_grant = self.active_grant()
+        if current_grant is None or current_grant.token != grant.token:
             return None
-        if answered.status == 200:
-            self._keep(report, answered.settled)
+        if answer.status == 200:
+            self._keep_worker(heartbeat, answer.is_repeatable)
         else:
-            self._sessions.pop(report.machine, None)
-        return Answer(answered.status, bytes(answered.body) + b"\n")
+            self._workers.pop(heartbeat.machine, None)
+        return ServerResponse(answer.status, bytes(answer.body) + b"\n")
 
-    def _keep(self, report: wm.Report, settled: bool) -> None:
-        before = self._sessions.pop(report.machine, None)
-        if before is not None and before.whole.version > report.version:
+    def _keep_worker(self, heartbeat: wm.Heartbeat, is_repeatable: bool) -> None:
+        previous = self._workers.pop(heartbeat.machine, None)
+        if previous is not None and previous.full_heartbeat.version > heartbeat.version:
             # A copy, come late.
-            self._sessions[report.machine] = before
+            self._workers[heartbeat.machine] = previous
             return
-        self._sessions[report.machine] = Session(report, settled, report.seq, self.now)
+        self._workers[heartbeat.machine] = RelayedWorker(heartbeat, is_repeatable, heartbeat.seq, self.now)
 
     # Commands
 
-    async def commands(self, passed: m.CommandsPassed) -> m.CommandsAnswered:
+    async def send_commands(self, request: m.ForwardedCommands) -> m.CommandsAnswer:
         """Commands of the leader for a worker, and what became of them."""
-        grant = self.granted()
-        if grant is None or passed.token != grant.token:
-            return m.CommandsAnswered(passed.number, m.Outcome.NOT_SENT)
+        grant = self.active_grant()
+        if grant is None or request.token != grant.token:
+            return m.CommandsAnswer(request.number, m.DeliveryOutcome.NOT_SENT)
         try:
-            reply = await self._http.call("POST", passed.address, "/commands", bytes(passed.body), DIRECT_S)
-        except NotSent:
-            return m.CommandsAnswered(passed.number, m.Outcome.NOT_SENT)
-        except Unanswered:
-            return m.CommandsAnswered(passed.number, m.Outcome.UNANSWERED)
-        return m.CommandsAnswered(passed.number, m.Outcome.ANSWERED, reply.status, _json(reply.body))
+            reply = await self._http.call("POST", request.address, "/commands", bytes(request.body), COMMAND_TIMEOUT_S)
+        except ConnectionFailedError:
+            return m.CommandsAnswer(request.number, m.DeliveryOutcome.NOT_SENT)
+        except NoResponseError:
+            return m.CommandsAnswer(request.number, m.DeliveryOutcome.UNANSWERED)
+        return m.CommandsAnswer(request.number, m.DeliveryOutcome.ANSWERED, reply.status, _as_json(reply.body))
 
 
-def _json(body: bytes) -> Raw:
+def _as_json(body: bytes) -> Raw:
     """A worker's answer, to be passed on inside a message; what is no JSON is passed on as null."""
     try:
         msgspec.json.decode(body, type=Raw)
--- a/meadowcross/snapshots/files.py
+++ b/meadowcross/snapshots/files.py
@@ -15,16 +15,16 @@
 from typing import NamedTuple
 
 import msgspec
-from msgspec import Raw, Struct
+from msgspec import Raw, Struct, field
 
-from meadowcross.common.types import Mark, NodeName
-from meadowcross.rebuild.merge import Source
+from meadowcross.common.types import NodeName, Revision
+from meadowcross.recovery.merge import RecoverySource
 from meadowcross.store.messages import Item
 
-FORMAT = 1
-KIND = "meadowcross snapshot"
-MANIFEST = ".manifest"
-DATA = ".data.gz"
+FORMAT_VERSION = 1
+MANIFEST_KIND = "meadowcross snapshot"
+MANIFEST_SUFFIX = ".manifest"
+DATA_SUFFIX = ".data.gz"
 
 
 class Manifest(Struct):
@@ -32,191 +32,197 @@
 
     kind: str
     format: int
-    era: int
-    revision: Mark
-    after: Mark
-    keys: int
-    size: int
+    epoch: int = field(name="era")
+    revision: Revision
+    base_revision: Revision = field(name="after")
+    key_count: int = field(name="keys")
+    size_bytes: int = field(name="size")
     sha256: str
     node: NodeName
-    at: float
+    written_at: float = field(name="at")
     """Time of day, in seconds, for people and for the bound on age."""
 
 
-class Line(Struct, array_like=True):
+class SnapshotEntry(Struct, array_like=True):
     """One key, with its version and value, or that it was dropped."""
 
     key: str
-    mark: Mark
+    revision: Revision = field(name="mark")
     value: Raw = Raw(b"null")
-    dropped: bool = False
+    is_dropped: bool = field(name="dropped", default=False)
 
 
-class Unusable(Exception):
+class UnusableSnapshotError(Exception):
     """Why a snapshot can't be used."""
 
 
 @dataclass(slots=True)
-class Found:
+class SnapshotInfo:
     """A snapshot in a directory, usable or not."""
 
     name: str
     manifest: Manifest | None
-    wrong: str | None
+    defect: str | None
 
 
-def name_of(era: int, revision: int, after: int) -> str:
-    kind = "full" if after == 0 else f"changes-{after:012d}"
-    return f"{era:06d}-{revision:012d}-{kind}"
+def snapshot_name(epoch: int, revision: int, base_revision: int) -> str:
+    kind = "full" if base_revision == 0 else f"changes-{base_revision:012d}"
+    return f"{epoch:06d}-{revision:012d}-{kind}"
 
 
-def write(directory: str, manifest: Manifest, lines: Iterable[Line], most_bytes: int) -> Manifest:
+def write_snapshot(directory: str, manifest: Manifest, entries: Iterable[SnapshotEntry], max_bytes: int) -> Manifest:
     """Raises OSError, also where it would take more than `most_bytes`; nothing half written stays behind."""
-    name = name_of(manifest.era, manifest.revision, manifest.after)
+    name = snapshot_name(manifest.epoch, manifest.revision, manifest.base_revision)
     encode = msgspec.json.Encoder().encode
-    content = gzip.compress(b"".join(encode(line) + b"\n" for line in lines), 5, mtime=0)
-    if len(content) > most_bytes:
-        raise OSError(f"{name}: {len(content)} bytes, at most {most_bytes} are allowed")
-    manifest.size, manifest.sha256 = len(content), hashlib.sha256(content).hexdigest()
-    _put(directory, name + DATA, content)
-    _put(directory, name + MANIFEST, msgspec.json.format(msgspec.json.encode(manifest), indent=1) + b"\n")
+    content = gzip.compress(b"".join(encode(entry) + b"\n" for entry in entries), 5, mtime=0)
+    if len(content) > max_bytes:
+        raise OSError(f"{name}: {len(content)} bytes, at most {max_bytes} are allowed")
+    manifest.size_bytes, manifest.sha256 = len(content), hashlib.sha256(content).hexdigest()
+    _write_durably(directory, name + DATA_SUFFIX, content)
+    _write_durably(
+        directory, name + MANIFEST_SUFFIX, msgspec.json.format(msgspec.json.encode(manifest), indent=1) + b"\n"
+    )
     return manifest
 
 
-def _put(directory: str, name: str, content: bytes) -> None:
-    path = os.path.join(directory, name)
-    beside = f"{path}.{os.getpid()}.tmp"
+def _write_durably(directory: str, file_name: str, content: bytes) -> None:
+    path = os.path.join(directory, file_name)
+    temporary_path = f"{path}.{os.getpid()}.tmp"
     try:
-        with open(beside, "wb") as file:
+        with open(temporary_path, "wb") as file:
             file.write(content)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, path)
+        os.replace(temporary_path, path)
     except OSError:
-        if os.path.exists(beside):
-            os.unlink(beside)
+        if os.path.exists(temporary_path):
+            os.unlink(temporary_path)
         raise
-    folder = os.open(directory, os.O_RDONLY)
+    directory_fd = os.open(directory, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(directory_fd)
     finally:
-        os.close(folder)
+        os.close(directory_fd)
 
 
-def found(directory: str) -> list[Found]:
+def list_snapshots(directory: str) -> list[SnapshotInfo]:
     """All snapshots there, newest first, judged by their manifests and lengths alone."""
-    names = sorted((name for name in os.listdir(directory) if name.endswith(MANIFEST)), reverse=True)
-    return [_look(directory, name.removesuffix(MANIFEST)) for name in names]
+    names = sorted((name for name in os.listdir(directory) if name.endswith(MANIFEST_SUFFIX)), reverse=True)
+    return [_inspect(directory, name.removesuffix(MANIFEST_SUFFIX)) for name in names]
 
 
-def _look(directory: str, name: str) -> Found:
+def _inspect(directory: str, name: str) -> SnapshotInfo:
     try:
-        with open(os.path.join(directory, name + MANIFEST), "rb") as file:
+        with open(os.path.join(directory, name + MANIFEST_SUFFIX), "rb") as file:
             manifest = msgspec.json.decode(file.read(), type=Manifest)
     except OSError as error:
-        return Found(name, None, f"can't be read: {error.strerror}")
+        return SnapshotInfo(name, None, f"can't be read: {error.strerror}")
     except msgspec.DecodeError as error:
-        return Found(name, None, f"its manifest is broken: {error}")
-    if manifest.kind != KIND:
-        return Found(name, manifest, "foreign: not a snapshot of ours")
-    if manifest.format > FORMAT:
-        return Found(name, manifest, f"of a newer format {manifest.format}, this version reads {FORMAT}")
-    if name != name_of(manifest.era, manifest.revision, manifest.after):
-        return Found(name, manifest, "its manifest is another's")
+        return SnapshotInfo(name, None, f"its manifest is broken: {error}")
+    if manifest.kind != MANIFEST_KIND:
+        return SnapshotInfo(name, manifest, "foreign: not a snapshot of ours")
+    if manifest.format > FORMAT_VERSION:
+        return SnapshotInfo(name, manifest, f"of a newer format {manifest.format}, this version reads {FORMAT_VERSION}")
+    if name != snapshot_name(manifest.epoch, manifest.revision, manifest.base_revision):
+        return SnapshotInfo(name, manifest, "its manifest is another's")
     try:
-        size = os.stat(os.path.join(directory, name + DATA)).st_size
+        size = os.stat(os.path.join(directory, name + DATA_SUFFIX)).st_size
     except OSError:
-        return Found(name, manifest, "its data are gone")
-    wrong = None if size == manifest.size else f"torn: {size} of {manifest.size} bytes"
-    return Found(name, manifest, wrong)
+        return SnapshotInfo(name, manifest, "its data are gone")
+    defect = None if size == manifest.size_bytes else f"torn: {size} of {manifest.size_bytes} bytes"
+    return SnapshotInfo(name, manifest, defect)
 
 
-def lines_of(directory: str, one: Found) -> Iterator[Line]:
+def read_entries(directory: str, snapshot: SnapshotInfo) -> Iterator[SnapshotEntry]:
     """Raises Unusable."""
-    if one.wrong is not None or one.manifest is None:
-        raise Unusable(f"{one.name}: {one.wrong}")
+    if snapshot.defect is not None or snapshot.manifest is None:
+        raise UnusableSnapshotError(f"{snapshot.name}: {snapshot.defect}")
     try:
-        with open(os.path.join(directory, one.name + DATA), "rb") as file:
+        with open(os.path.join(directory, snapshot.name + DATA_SUFFIX), "rb") as file:
             content = file.read()
     except OSError as error:
-        raise Unusable(f"{one.name}: can't be read: {error.strerror}") from error
-    if hashlib.sha256(content).hexdigest() != one.manifest.sha256:
-        raise Unusable(f"{one.name}: broken: its checksum is another")
-    decode = msgspec.json.Decoder(Line).decode
+        raise UnusableSnapshotError(f"{snapshot.name}: can't be read: {error.strerror}") from error
+    if hashlib.sha256(content).hexdigest() != snapshot.manifest.sha256:
+        raise UnusableSnapshotError(f"{snapshot.name}: broken: its checksum is another")
+    decode = msgspec.json.Decoder(SnapshotEntry).decode
     try:
         for line in gzip.decompress(content).splitlines():
             yield decode(line)
     except (OSError, EOFError, msgspec.DecodeError) as error:
-        raise Unusable(f"{one.name}: broken: {error}") from error
+        raise UnusableSnapshotError(f"{snapshot.name}: broken: {error}") from error
 
 
-class Read(NamedTuple):
+class ReadResult(NamedTuple):
     """What a directory gives: the newest state that holds, and what could not be used on the way."""
 
-    source: Source | None
-    refused: list[str]
+    source: RecoverySource | None
+    rejections: list[str]
 
 
-def read(directory: str) -> Read:
+def read_newest(directory: str) -> ReadResult:
     """The newest full snapshot that holds, with all changes after it that hold in a row."""
-    refused: list[str] = []
+    rejections: list[str] = []
     try:
-        there = found(directory)
+        snapshots = list_snapshots(directory)
     except OSError as error:
-        return Read(None, [f"{directory}: can't be read: {error.strerror}"])
-    refused += [f"{one.name}: {one.wrong}" for one in there if one.wrong is not None]
-    usable = [one for one in there if one.wrong is None]
+        return ReadResult(None, [f"{directory}: can't be read: {error.strerror}"])
+    rejections += [f"{snapshot.name}: {snapshot.defect}" for snapshot in snapshots if snapshot.defect is not None]
+    usable = [snapshot for snapshot in snapshots if snapshot.defect is None]
     for full in usable:
-        if full.manifest is None or full.manifest.after:
+        if full.manifest is None or full.manifest.base_revision:
             continue
         items: dict[str, Item] = {}
         try:
-            _apply(items, lines_of(directory, full))
-        except Unusable as error:
-            refused.append(str(error))
+            _apply_entries(items, read_entries(directory, full))
+        except UnusableSnapshotError as error:
+            rejections.append(str(error))
             continue
-        era, revision = full.manifest.era, full.manifest.revision
+        epoch, revision = full.manifest.epoch, full.manifest.revision
         for change in reversed(usable):
-            if change.manifest is None or (change.manifest.era, change.manifest.after) != (era, revision):
+            if change.manifest is None or (change.manifest.epoch, change.manifest.base_revision) != (epoch, revision):
                 continue
-            before = dict(items)
+            previous_items = dict(items)
             try:
-                _apply(items, lines_of(directory, change))
-            except Unusable as error:
+                _apply_entries(items, read_entries(directory, change))
+            except UnusableSnapshotError as error:
                 # What comes after it builds on it.
-                refused.append(str(error))
-                items = before
+                rejections.append(str(error))
+                items = previous_items
                 break
             revision = change.manifest.revision
-        return Read(Source(NodeName(f"snapshot {full.name}"), era, revision, False, items), refused)
-    return Read(None, refused)
+        return ReadResult(RecoverySource(NodeName(f"snapshot {full.name}"), epoch, revision, False, items), rejections)
+    return ReadResult(None, rejections)
 
 
-def _apply(items: dict[str, Item], lines: Iterable[Line]) -> None:
-    for line in lines:
-        if line.dropped:
-            items.pop(line.key, None)
+def _apply_entries(items: dict[str, Item], entries: Iterable[SnapshotEntry]) -> None:
+    for entry in entries:
+        if entry.is_dropped:
+            items.pop(entry.key, None)
         else:
-            items[line.key] = Item(line.key, Raw(bytes(line.value)), line.mark)
+            items[entry.key] = Item(entry.key, Raw(bytes(entry.value)), entry.revision)
 
 
-def remove_old(directory: str, keep: int, oldest: float) -> int:
+def remove_old_snapshots(directory: str, keep_count: int, oldest_at: float) -> int:
     """Drop whole chains beyond the newest `keep` full snapshots, and those written before `oldest`; the newest
     that holds always stays. Returns how many snapshots went."""
-    there = found(directory)
-    fulls = [one for one in there if one.manifest is not None and one.manifest.after == 0 and one.wrong is None]
-    gone = 0
-    last = 0
-    for number, full in enumerate(fulls):
-        if number == 0 or (number < keep and full.manifest is not None and full.manifest.at >= oldest):
-            last = number
-    for one in there:
+    snapshots = list_snapshots(directory)
+    full_snapshots = [
+        snapshot
+        for snapshot in snapshots
+        if snapshot.manifest is not None and snapshot.manifest.base_revision == 0 and snapshot.defect is None
+    ]
+    removed_count = 0
+    last_kept = 0
+    for number, full in enumerate(full_snapshots):
+        if number == 0 or (number < keep_count and full.manifest is not None and full.manifest.written_at >= oldest_at):
+            last_kept = number
+    for snapshot in snapshots:
         # Whatever is older than the last full snapshot that stays belongs to chains that go.
-        if fulls and one.name < fulls[last].name:
-            for ending in (MANIFEST, DATA):
+        if full_snapshots and snapshot.name < full_snapshots[last_kept].name:
+            for suffix in (MANIFEST_SUFFIX, DATA_SUFFIX):
                 try:
-                    os.unlink(os.path.join(directory, one.name + ending))
+                    os.unlink(os.path.join(directory, snapshot.name + suffix))
                 except FileNotFoundError:
                     continue
-            gone += 1
-    return gone
+            removed_count += 1
+    return removed_count
