--- a/meadowcross/snapshots/writer.py
+++ b/meadowcross/snapshots/writer.py
@@ -12,97 +12,119 @@
 from twisted.internet.threads import deferToThreadPool
 
 from meadowcross.common.clock import Clock, pause
-from meadowcross.common.logging import logger
-from meadowcross.common.types import Instant, Mark, NodeName, Seconds
-from meadowcross.replica.follower import Follower
+from meadowcross.common.logging import get_logger
+from meadowcross.common.types import Instant, NodeName, Revision, Seconds
+from meadowcross.replication.follower import ReplicaFollower
 from meadowcross.snapshots import files
 
-log = logger("snapshots")
+log = get_logger("snapshots")
 
-CHAIN = 10
+MAX_CHAIN_LENGTH = 10
 """So many changes may follow a full snapshot: a chain is read as a whole, and breaks as one."""
-MOST_BYTES = 256 * 2**20
-LOOK_S: Seconds = 1.0
+MAX_SNAPSHOT_BYTES = 256 * 2**20
+POLL_INTERVAL_S: Seconds = 1.0
 
 
-class Writer:
+class SnapshotWriter:
     def __init__(
         self,
         clock: Clock,
-        follower: Follower,
+        follower: ReplicaFollower,
         node: NodeName,
-        era: Callable[[], int | None],
+        current_epoch: Callable[[], int | None],
         directory: str,
-        every_s: Seconds,
-        keep: int,
-        keep_s: Seconds,
+        interval_s: Seconds,
+        keep_count: int,
+        keep_duration_s: Seconds,
     ) -> None:
         self._clock = clock
         self._follower = follower
         self._node = node
-        self._era = era
+        self._current_epoch = current_epoch
         self._directory = directory
-        self._every_s = every_s
-        self._keep = keep
-        self._keep_s = keep_s
-        self._last: dict[str, Mark] = {}
+        self._interval_s = interval_s
+        self._keep_count = keep_count
+        self._keep_duration_s = keep_duration_s
+        self._last_revisions: dict[str, Revision] = {}
         """What the last snapshot holds, by key."""
-        self._at: tuple[int, Mark] | None = None
-        self._chain = 0
-        self.written = 0
-        self.failed = 0
+        self._last_position: tuple[int, Revision] | None = None
+        self._chain_length = 0
+        self.written_count = 0
+        self.failure_count = 0
 
-    async def _in_thread(self, work: Callable[..., Any], *arguments: Any) -> Any:
+    async def _in_thread(self, function: Callable[..., Any], *arguments: Any) -> Any:
         """Away from the loop, where it has threads."""
-        pool: Any = self._clock
-        if not hasattr(pool, "getThreadPool"):
-            return work(*arguments)
-        return await deferToThreadPool(pool, pool.getThreadPool(), work, *arguments)
+        reactor: Any = self._clock
+        if not hasattr(reactor, "getThreadPool"):
+            return function(*arguments)
+        return await deferToThreadPool(reactor, reactor.getThreadPool(), function, *arguments)
 
     async def run(self) -> None:
-        due = Instant(self._clock.seconds())
+        due_at = Instant(self._clock.seconds())
         while True:
-            await pause(self._clock, LOOK_S)
+            await pause(self._clock, POLL_INTERVAL_S)
             now = Instant(self._clock.seconds())
-            era = self._era()
-            if now < due or not self._follower.warm or era is None:
+            epoch = self._current_epoch()
+            if now < due_at or not self._follower.is_in_sync or epoch is None:
                 continue
-            due = Instant(now + self._every_s)
+            due_at = Instant(now + self._interval_s)
             try:
-                await self._write(era, now)
-                if self.failed:
-                    log.info("snapshots are written again, after %d that failed", self.failed)
-                self.failed = 0
+                await self._write(epoch, now)
+                if self.failure_count:
+                    log.info("snapshots are written again, after %d that failed", self.failure_count)
+                self.failure_count = 0
             except OSError as error:
-                if not self.failed:
+                if not self.failure_count:
                     log.error("no snapshot could be written to %s: %s", self._directory, error)
-                self.failed += 1
-                self._at = None
+                self.failure_count += 1
+                self._last_position = None
             except Exception:
                 log.exception("writing a snapshot failed")
-                self._at = None
+                self._last_position = None
 
-    async def _write(self, era: int, now: Instant) -> None:
-        picture = self._follower.picture
-        revision = picture.revision
-        if self._at == (era, revision):
+    async def _write(self, epoch: int, now: Instant) -> None:
+        replica = self._follower.replica
+        revision = replica.revision
+        if self._last_position == (epoch, revision):
             return
-        full = self._at is None or self._at[0] != era or self._chain >= CHAIN or revision < self._at[1]
-        items = list(picture.entries())
-        marks = {item.key: item.mark for item in items}
-        after = Mark(0) if full or self._at is None else self._at[1]
-        lines = [
-            files.Line(item.key, item.mark, item.value)
+        is_full = (
+            self._last_position is None
+            or self._last_position[0] != epoch
+            or self._chain_length >= MAX_CHAIN_LENGTH
+            or revision < self._last_position[1]
+        )
+        items = list(replica.all_items())
+        revisions = {item.key: item.mod_revision for item in items}
+        base_revision = Revision(0) if is_full or self._last_position is None else self._last_position[1]
+        entries = [
+            files.SnapshotEntry(item.key, item.mod_revision, item.value)
             for item in items
-            if full or self._last.get(item.key) != item.mark
+            if is_full or self._last_revisions.get(item.key) != item.mod_revision
         ]
-        if not full:
-            lines += [files.Line(key, revision, dropped=True) for key in self._last if key not in marks]
-        manifest = files.Manifest(files.KIND, files.FORMAT, era, revision, after, len(lines), 0, "", self._node, now)
-        await self._in_thread(files.write, self._directory, manifest, lines, MOST_BYTES)
-        self._last, self._at = marks, (era, revision)
-        self._chain = 0 if full else self._chain + 1
-        self.written += 1
-        log.debug("snapshot of revision %d: %d lines, %d bytes", revision, len(lines), manifest.size)
-        if full:
-            await self._in_thread(files.remove_old, self._directory, self._keep, now - self._keep_s)
+        if not is_full:
+            entries += [
+                files.SnapshotEntry(key, revision, is_dropped=True)
+                for key in self._last_revisions
+                if key not in revisions
+            ]
+        manifest = files.Manifest(
+            files.MANIFEST_KIND,
+            files.FORMAT_VERSION,
+            epoch,
+            revision,
+            base_revision,
+            len(entries),
+            0,
+            "",
+            self._node,
+            now,
+        )
+        await self._in_thread(files.write_snapshot, self._directory, manifest, entries, MAX_SNAPSHOT_BYTES)
+        self._last_revisions, self._last_position = revisions, (epoch, revision)
+        self._chain_length = 0 if is_full else self._chain_length + 1
+        self.written_count += 1
+        log.debug("snapshot of revision %d: %d lines, %d bytes", revision, len(entries), manifest.size_bytes)
+        if is_full:
+            await self._in_thread(
+                files.remove_old_snapshots, self._directory, self._keep_count, now - self._keep_duration_s
+            )
--- a/meadowcross/store/traffic.py
+++ b/meadowcross/store/request_counter.py
@@ -7,57 +7,57 @@
 from typing import NamedTuple
 
 from meadowcross.common.clock import Clock
-from meadowcross.common.logging import logger
+from meadowcross.common.logging import get_logger
 from meadowcross.common.types import Instant, Seconds
-from meadowcross.store.budget import Urgency
+from meadowcross.store.token_bucket import RequestPriority
 
-log = logger("store")
+log = get_logger("store")
 
 LOG_EVERY_S: Seconds = 10.0
 
 
-class Cause(NamedTuple):
+class RequestCause(NamedTuple):
     """What a request is for: its method, the endpoint, the family of keys that it names, and its urgency."""
 
     method: str
     endpoint: str
-    family: str
-    urgency: Urgency
+    key_family: str
+    priority: RequestPriority
 
     def __str__(self) -> str:
-        return f"{self.method} {self.endpoint} {self.family or '-'} {self.urgency.name.lower()}"
+        return f"{self.method} {self.endpoint} {self.key_family or '-'} {self.priority.name.lower()}"
 
 
-def cause_of(method: str, path: str, urgency: Urgency) -> Cause:
+def classify_request(method: str, path: str, priority: RequestPriority) -> RequestCause:
     """The cause of a request as its path tells it: `/kv/j/wk-1` and `/kv?under=j/` both concern `j`."""
     endpoint, _, query = path.partition("?")
     parts = endpoint.split("/")
-    family = ""
+    key_family = ""
     if len(parts) > 2 and parts[1] == "kv":
-        family = parts[2]
+        key_family = parts[2]
     elif query.startswith("under="):
-        family = query.removeprefix("under=").partition("&")[0].partition("/")[0] or "all"
-    return Cause(method, parts[1], family, urgency)
+        key_family = query.removeprefix("under=").partition("&")[0].partition("/")[0] or "all"
+    return RequestCause(method, parts[1], key_family, priority)
 
 
-class Traffic:
+class RequestCounter:
     """Requests by cause since the last log line, which is written at debug with the first request that is due."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._counts: Counter[Cause] = Counter()
-        self._since = Instant(clock.seconds())
+        self._counts: Counter[RequestCause] = Counter()
+        self._logged_at = Instant(clock.seconds())
 
-    def count(self, method: str, path: str, urgency: Urgency) -> None:
+    def count(self, method: str, path: str, priority: RequestPriority) -> None:
         """Note one request; costs nothing but a comparison unless the log is at debug."""
         if not log.isEnabledFor(DEBUG):
             return
-        self._counts[cause_of(method, path, urgency)] += 1
+        self._counts[classify_request(method, path, priority)] += 1
         now = Instant(self._clock.seconds())
-        if now - self._since >= LOG_EVERY_S:
-            log.debug("requests in %.1f s: %s", now - self._since, self)
+        if now - self._logged_at >= LOG_EVERY_S:
+            log.debug("requests in %.1f s: %s", now - self._logged_at, self)
             self._counts.clear()
-            self._since = now
+            self._logged_at = now
 
     def __str__(self) -> str:
         return ", ".join(f"{cause}: {count}" for cause, count in self._counts.most_common())
--- a/meadowcross/workers/api.py
+++ b/meadowcross/workers/api.py
@@ -7,70 +7,72 @@
 
 import msgspec
 
-from meadowcross.common.http import Answer, Router, reason
-from meadowcross.common.types import NodeName, Token
+from meadowcross.common.http import Router, ServerResponse, error_response
+from meadowcross.common.types import FencingToken, NodeName
 from meadowcross.workers import messages as m
-from meadowcross.workers.visitors import Visitors
+from meadowcross.workers.heartbeat_tracker import HeartbeatTracker
 
-TakeReport = Callable[[m.Report], m.Response | m.Elsewhere | None]
+HandleHeartbeat = Callable[[m.Heartbeat], m.HeartbeatResponse | m.Redirect | None]
 
 
-class Relaying(Protocol):
+class HeartbeatRelay(Protocol):
     """Of a relay, what workers' reports need."""
 
-    def granted(self) -> object | None: ...
-    def answer(self, report: m.Report) -> Answer | None: ...
-    async def pass_on(self, report: m.Report, body: bytes) -> Answer | None: ...
+    def active_grant(self) -> object | None: ...
+    def answer_unchanged(self, heartbeat: m.Heartbeat) -> ServerResponse | None: ...
+    async def forward_heartbeat(self, heartbeat: m.Heartbeat, body: bytes) -> ServerResponse | None: ...
 
 
 class WorkerApi:
     def __init__(
         self,
-        take: Callable[[], TakeReport | None],
-        leader: Callable[[], NodeName | None],
-        visitors: Visitors,
-        token_seen: Callable[[Token], None] = lambda token: None,
-        relay: Relaying | None = None,
+        leader_handler: Callable[[], HandleHeartbeat | None],
+        leader_name: Callable[[], NodeName | None],
+        tracker: HeartbeatTracker,
+        on_token_seen: Callable[[FencingToken], None] = lambda token: None,
+        relay: HeartbeatRelay | None = None,
     ) -> None:
         self._relay = relay
-        self._token_seen = token_seen
-        self._take = take
-        self._leader = leader
-        self._visitors = visitors
+        self._on_token_seen = on_token_seen
+        self._leader_handler = leader_handler
+        self._leader_name = leader_name
+        self._tracker = tracker
 
-    def routes(self, router: Router) -> None:
-        router.add("POST", r"/checkin", self.report)
+    def add_routes(self, router: Router) -> None:
+        router.add("POST", r"/checkin", self.handle_heartbeat)
 
-    def report(self, body: bytes) -> Answer | Awaitable[Answer]:
-        take = self._take()
-        relay = self._relay if self._relay is not None and self._relay.granted() is not None else None
+    def handle_heartbeat(self, body: bytes) -> ServerResponse | Awaitable[ServerResponse]:
+        handle = self._leader_handler()
+        relay = self._relay if self._relay is not None and self._relay.active_grant() is not None else None
         try:
-            if take is None and relay is not None:
-                return self._relayed(relay, m.decode_report(body), body)
-            if take is None:
-                reporter = m.decode_reporter(body)
-                self._visitors.came(reporter.machine, reporter.version)
-                self._token_seen(reporter.token)
+            if handle is None and relay is not None:
+                return self._answer_as_relay(relay, m.decode_heartbeat(body), body)
+            if handle is None:
+                header = m.decode_heartbeat_header(body)
+                self._tracker.record(header.machine, header.version)
+                self._on_token_seen(header.token)
             else:
-                report = m.decode_report(body)
-                self._visitors.came(report.machine, report.version)
-                self._token_seen(report.token)
-                response = take(report)
-                if isinstance(response, m.Elsewhere):
-                    return Answer(421, m.encode(response) + b"\n")
+                heartbeat = m.decode_heartbeat(body)
+                self._tracker.record(heartbeat.machine, heartbeat.version)
+                self._on_token_seen(heartbeat.token)
+                response = handle(heartbeat)
+                if isinstance(response, m.Redirect):
+                    return ServerResponse(421, m.encode(response) + b"\n")
                 if response is not None:
-                    return Answer(200, m.encode(response) + b"\n")
+                    return ServerResponse(200, m.encode(response) + b"\n")
         except msgspec.DecodeError as error:
-            return reason(400, str(error))
-        return self._elsewhere()
+            return error_response(400, str(error))
+        return self._redirect()
 
-    def _elsewhere(self) -> Answer:
-        return Answer(421, m.encode(m.Elsewhere(self._leader())) + b"\n")
+    def _redirect(self) -> ServerResponse:
+        return ServerResponse(421, m.encode(m.Redirect(self._leader_name())) + b"\n")
 
-    def _relayed(self, relay: Relaying, report: m.Report, body: bytes) -> Answer | Awaitable[Answer]:
-        self._visitors.came(report.machine, report.version, True)
-        self._token_seen(report.token)
-        return relay.answer(report) or self._passed_on(relay, report, body)
+    def _answer_as_relay(
+        self, relay: HeartbeatRelay, heartbeat: m.Heartbeat, body: bytes
+    ) -> ServerResponse | Awaitable[ServerResponse]:
+        self._tracker.record(heartbeat.machine, heartbeat.version, True)
+        self._on_token_seen(heartbeat.token)
+        return relay.answer_unchanged(heartbeat) or self._forward(relay, heartbeat, body)
 
-    async def _passed_on(self, relay: Relaying, report: m.Report, body: bytes) -> Answer:
-        return await relay.pass_on(report, body) or self._elsewhere()
+    async def _forward(self, relay: HeartbeatRelay, heartbeat: m.Heartbeat, body: bytes) -> ServerResponse:
+        return await relay.forward_heartbeat(heartbeat, body) or self._redirect()
--- a/meadowcross/workers/messages.py
+++ b/meadowcross/workers/messages.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from meadowcross.common.types import Address, MachineId, NodeName, ReportVersion, Seconds, Token
+from meadowcross.common.types import Address, FencingToken, HeartbeatVersion, MachineId, NodeName, Seconds
 
 
 class TaskState(Enum):
@@ -23,47 +23,47 @@
     task: str = field(name="head")
     attempt: int = field(name="round")
     state: TaskState = field(name="standing")
-    why: str | None = field(name="cause", default=None)
-    saved: bool = field(name="kept", default=False)
+    exit_reason: str | None = field(name="cause", default=None)
+    has_saved_progress: bool = field(name="kept", default=False)
 
 
-class Report(Struct):
+class Heartbeat(Struct):
     machine: MachineId = field(name="stall")
-    addr: Address
-    type: str = field(name="build")
+    address: Address = field(name="addr")
+    machine_type: str = field(name="build")
     zone: str = field(name="field")
     spot: bool = field(name="stubble")
-    session: int = field(name="tenure")
+    incarnation: int = field(name="tenure")
     seq: int = field(name="tally")
-    token: Token = field(name="crook")
+    token: FencingToken = field(name="crook")
     notice_s: Seconds | None = field(name="recallS", default=None)
     tasks: list[TaskReport] = field(name="heads", default_factory=list)
 
     @property
-    def version(self) -> ReportVersion:
-        return ReportVersion(self.session, self.seq)
+    def version(self) -> HeartbeatVersion:
+        return HeartbeatVersion(self.incarnation, self.seq)
 
 
-class Reporter(Struct):
+class HeartbeatHeader(Struct):
     """Of a report, whose and which it is and the highest token seen: all that a node that does not lead reads."""
 
     machine: MachineId = field(name="stall")
-    token: Token = field(name="crook", default=Token(0))
-    session: int = field(name="tenure", default=0)
+    token: FencingToken = field(name="crook", default=FencingToken(0))
+    incarnation: int = field(name="tenure", default=0)
     seq: int = field(name="tally", default=0)
 
     @property
-    def version(self) -> ReportVersion:
-        return ReportVersion(self.session, self.seq)
+    def version(self) -> HeartbeatVersion:
+        return HeartbeatVersion(self.incarnation, self.seq)
 
 
-DONE = "done"
-ERROR = "error"
-NO_ROOM = "full"
-UNKNOWN_JOB = "no_such"
-GANG_LOST = "mates_gone"
-GANG_INCOMPLETE = "incomplete"
-STOPPED = "stopped"
+EXIT_DONE = "done"
+EXIT_ERROR = "error"
+EXIT_NO_ROOM = "full"
+EXIT_UNKNOWN_JOB = "no_such"
+EXIT_GANG_LOST = "mates_gone"
+EXIT_GANG_INCOMPLETE = "incomplete"
+EXIT_STOPPED = "stopped"
 
 
 class Command(Struct, omit_defaults=True):
@@ -73,27 +73,27 @@
     grace_s: Seconds | None = field(name="gatherS", default=None)
 
 
-class Response(Struct):
+class HeartbeatResponse(Struct):
     """The answer to a report."""
 
-    token: Token = field(name="crook")
+    token: FencingToken = field(name="crook")
     commands: list[Command] = field(name="calls")
 
 
-class Direct(Struct):
+class DirectCommands(Struct):
     """Commands sent to a worker's own address."""
 
-    token: Token = field(name="crook")
-    session: int = field(name="tenure")
+    token: FencingToken = field(name="crook")
+    incarnation: int = field(name="tenure")
     commands: list[Command] = field(name="calls")
 
 
-class Elsewhere(Struct, omit_defaults=True):
+class Redirect(Struct, omit_defaults=True):
     """With a 421: the node to report to, where it is known."""
 
     report_to: NodeName | None = field(name="drover", default=None)
 
 
 encode = msgspec.json.Encoder().encode
-decode_report = msgspec.json.Decoder(Report).decode
-decode_reporter = msgspec.json.Decoder(Reporter).decode
+decode_heartbeat = msgspec.json.Decoder(Heartbeat).decode
+decode_heartbeat_header = msgspec.json.Decoder(HeartbeatHeader).decode
--- a/lab/__main__.py
+++ b/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m lab run FILE [--seed N] [--json]`: play a scenario file and judge it."""
+"""`python3 -m simulation run FILE [--seed N] [--json]`: play a scenario file and judge it."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    options = argparse.ArgumentParser(prog="python3 -m lab", description="Whole clusters in simulated time.")
+    options = argparse.ArgumentParser(prog="python3 -m simulation", description="Whole clusters in simulated time.")
     verbs = options.add_subparsers(dest="verb", required=True)
     run = verbs.add_parser("run", help="play a scenario file and judge it; exit 1 if a rule broke")
-    run.add_argument("file", metavar="FILE", help="a scenario (TOML), as under examples/lab")
+    run.add_argument("file", metavar="FILE", help="a scenario (TOML), as under examples/simulation")
     run.add_argument("--seed", type=int, default=1, metavar="N", help="draws everything that is left to luck (1)")
     run.add_argument("--json", action="store_true", help="an object instead of lines")
     run.add_argument("--log", choices=("error", "info", "debug"), help="what the nodes log, to standard error")
@@ -30,7 +30,7 @@
         self._simulation = simulation
 
     def format(self, record: logging.LogRecord) -> str:
-        from lab.net import START
+        from simulation.net import START
 
         node = self._simulation.current
         level, _, text = super().format(record).partition(" ")
@@ -52,14 +52,14 @@
 
 def main(arguments: list[str]) -> int:
     options = parser().parse_args(arguments)
-    from lab.scenario import ScenarioError, load
+    from simulation.scenario import ScenarioError, load
 
     try:
         scenario = load(options.file)
     except ScenarioError as error:
         print(f"lab: {error}", file=sys.stderr)
         return 2
-    from lab.world import Lab
+    from simulation.world import Lab
 
     lab = Lab(scenario, options.seed, options.history is not None)
     root = logging.getLogger()
@@ -82,5 +82,5 @@
     if os.environ.get("PYTHONHASHSEED", "random") == "random":
         # Sets of names are walked in an order drawn anew for each process: one seed would have many histories.
         os.environ["PYTHONHASHSEED"] = "0"
-        os.execv(sys.executable, [sys.executable, "-m", "lab", *sys.argv[1:]])
+        os.execv(sys.executable, [sys.executable, "-m", "simulation", *sys.argv[1:]])
     sys.exit(main(sys.argv[1:]))
--- a/lab/http.py
+++ b/simulation/http.py
@@ -8,8 +8,8 @@
 
 from twisted.internet.defer import Deferred
 
-from lab.net import Reactor
 from meadowcross.common import http
+from simulation.net import Reactor
 
 Answer = tuple[int, Any]
 Handler = Callable[[str, str, str, dict[str, str], bytes], "Answer | Deferred[Answer]"]
@@ -25,17 +25,17 @@
     def guard(self, request: Any, path: str, body: bytes) -> None:
         self._asked = request
 
-    def find(self, method: str, path: str) -> Any:
+    def resolve(self, method: str, path: str) -> Any:
         return self._serve, ()
 
-    async def _serve(self, body: bytes) -> http.Answer:
+    async def _serve(self, body: bytes) -> http.ServerResponse:
         asked = self._asked
         query = {name.decode(): values[0].decode() for name, values in asked.args.items()}
         answer = self._handler(asked.getClientAddress().host, asked.method.decode(), asked.path.decode(), query, body)
         status, value = await answer if isinstance(answer, Deferred) else answer
-        return http.Answer(status, json.dumps(value).encode())
+        return http.ServerResponse(status, json.dumps(value).encode())
 
 
 def serve(reactor: Reactor, port: int, handler: Handler) -> None:
     router = _Router(handler)
-    reactor.listenTCP(port, http.api_factory(router, reactor, router.guard))
+    reactor.listenTCP(port, http.build_api_factory(router, reactor, router.guard))
--- a/lab/machines.py
+++ b/simulation/machines.py
@@ -10,14 +10,14 @@
 
 from twisted.internet.defer import Deferred
 
-from lab.http import Answer, serve
-from lab.judge import Judge
-from lab.net import Reactor, Simulation
-from lab.scenario import Workers
-from lab.standins import Worker
 from meadowcross.common.clock import pause
-from meadowcross.common.http import HttpClient, NotSent, Unanswered
+from meadowcross.common.http import ConnectionFailedError, HttpClient, NoResponseError
 from meadowcross.common.types import Address
+from simulation.http import Answer, serve
+from simulation.judge import Judge
+from simulation.net import Reactor, Simulation
+from simulation.scenario import Workers
+from simulation.standins import Worker
 
 ANSWER_S = 4.0
 ELSEWHERE_S = 1.0
@@ -85,7 +85,9 @@
         """A copy of a report; nobody hears the answer."""
         if self.courier is not None:
             call = self.courier.call("POST", self.nodes[node], "/checkin", body, ANSWER_S)
-            Deferred.fromCoroutine(call).addErrback(lambda failure: failure.trap(NotSent, Unanswered))
+            Deferred.fromCoroutine(call).addErrback(
+                lambda failure: failure.trap(ConnectionFailedError, NoResponseError)
+            )
 
     def deliver_kept(self) -> None:
         """Somebody begins to lead: what was kept reaches every controller, as it reads what is stored or soon after."""
@@ -198,7 +200,7 @@
             status, content = await self._client.call("POST", self._world.nodes[self._node], "/checkin", body, ANSWER_S)
             if self.deaf:
                 await pause(self._reactor, sent + ANSWER_S - self.now)
-        except (NotSent, Unanswered):
+        except (ConnectionFailedError, NoResponseError):
             status = 0
         if not status or self.deaf:
             self._next()
--- a/lab/scenario.py
+++ b/simulation/scenario.py
@@ -13,7 +13,7 @@
 from msgspec import Meta, Struct, field
 from msgspec.structs import fields
 
-from lab.fields import Amount, Count, Name, Seconds, Share, Span
+from simulation.fields import Amount, Count, Name, Seconds, Share, Span
 
 
 class ScenarioError(Exception):
--- a/lab/services.py
+++ b/simulation/services.py
@@ -9,11 +9,11 @@
 
 from twisted.internet.defer import Deferred
 
-from lab.http import Answer, serve
-from lab.net import Reactor
-from lab.pace import Pace
-from lab.scenario import Cloud, State, Type
-from lab.standins import CloudService, StateService
+from simulation.http import Answer, serve
+from simulation.net import Reactor
+from simulation.pace import Pace
+from simulation.scenario import Cloud, State, Type
+from simulation.standins import CloudService, StateService
 
 DEAD_LISTED_S = 30.0
 LATE_WRITE_S = (2.0, 12.0)
--- a/lab/standins.py
+++ b/simulation/standins.py
@@ -18,7 +18,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from meadowcross.common.http import NotSent, Reply, Unanswered
+from meadowcross.common.http import ClientResponse, ConnectionFailedError, NoResponseError
 
 Answer = tuple[int, Any]
 KEPT_CHANGES = 10_000
@@ -296,25 +296,27 @@
         late, self.late = self.late, []
         return [deliver() for deliver in late]
 
-    async def call(self, method: str, address: str, path: str, body: bytes | None = None, timeout: float = 2) -> Reply:
+    async def call(
+        self, method: str, address: str, path: str, body: bytes | None = None, timeout: float = 2
+    ) -> ClientResponse:
         host = self.hosts.get(address)
         self.calls.append((method, address + path, body or b""))
         fault = self.fault_for(address + path)
         if host is None or fault == "refuse":
-            raise NotSent(address)
+            raise ConnectionFailedError(address)
         parts = urlsplit(path)
         query = dict(parse_qsl(parts.query, keep_blank_values=True))
         if fault == "late":
             self.late.append(lambda: host(method, parts.path, query, body or b""))
-            raise Unanswered(address)
+            raise NoResponseError(address)
         if parts.path == "/watch":
             return await self.watch(query)
         status, value = host(method, parts.path, query, body or b"")
         if fault == "lose":
-            raise Unanswered(address)
-        return Reply(status, json.dumps(value).encode())
+            raise NoResponseError(address)
+        return ClientResponse(status, json.dumps(value).encode())
 
-    async def watch(self, query: dict[str, str]) -> Reply:
+    async def watch(self, query: dict[str, str]) -> ClientResponse:
         assert self.state is not None
         until = self.clock.seconds() + int(query["waitMs"]) / 1000
         while True:
@@ -323,7 +325,7 @@
             if answer is None and self.clock.seconds() >= until:
                 answer = (200, {"ledger": self.state.revision, "news": []})
             if answer is not None:
-                return Reply(answer[0], json.dumps(answer[1]).encode())
+                return ClientResponse(answer[0], json.dumps(answer[1]).encode())
             step: Deferred[None] = Deferred()
             self.clock.callLater(0.01, step.callback, None)
             await step
--- a/lab/users.py
+++ b/simulation/users.py
@@ -9,11 +9,11 @@
 
 from twisted.internet.defer import Deferred
 
-from lab.judge import Judge
-from lab.net import START, Reactor
 from meadowcross.common.clock import pause
-from meadowcross.common.http import HttpClient, NotSent, Unanswered
+from meadowcross.common.http import ConnectionFailedError, HttpClient, NoResponseError
 from meadowcross.common.types import Address
+from simulation.judge import Judge
+from simulation.net import START, Reactor
 
 RETRY_S = 1.0
 SUBMIT_S = 60.0
@@ -47,9 +47,9 @@
         for address in nodes[:3]:
             try:
                 status, content = await self._client.call(method, address, path, body, timeout)
-            except NotSent:
+            except ConnectionFailedError:
                 continue
-            except Unanswered:
+            except NoResponseError:
                 return 0, None
             return status, json.loads(content) if content else None
         return 0, None
@@ -70,7 +70,7 @@
         for method, path, body in (("GET", f"/v1/jobs/{job}", b""), ("POST", "/v1/jobs", self._bodies[job])):
             try:
                 status, content = await self._client.call(method, address, path, body, 2.0)
-            except (NotSent, Unanswered):
+            except (ConnectionFailedError, NoResponseError):
                 continue
             self.looked += 1
             if status in (400, 404, 422):
@@ -99,7 +99,7 @@
             body = json.dumps(value).encode() if value is not None else b""
             try:
                 status, content = await self._client.call("POST", address, path, body, 5.0)
-            except (NotSent, Unanswered):
+            except (ConnectionFailedError, NoResponseError):
                 continue
             self.odd_answers[what, status] += 1
             if status not in good:
--- a/lab/world.py
+++ b/simulation/world.py
@@ -10,17 +10,17 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from lab.judge import Judge, Spec
-from lab.machines import Machine, Work, World
-from lab.net import START, Cut, Host, Simulation
-from lab.scenario import Fault, Jobs, Scenario
-from lab.services import LATE_WRITE_S, Rentals, Store
-from lab.users import Users
-from meadowcross.app import Node
 from meadowcross.common.http import HttpClient
-from meadowcross.common.settings import Operator, Settings
+from meadowcross.common.settings import OperatorSettings, Settings
 from meadowcross.common.types import Address
-from meadowcross.store.shares import LEADER_SHARE, follower_share
+from meadowcross.controller.controller import Controller
+from meadowcross.store.rate_shares import LEADER_SHARE, follower_share
+from simulation.judge import Judge, Spec
+from simulation.machines import Machine, Work, World
+from simulation.net import START, Cut, Host, Simulation
+from simulation.scenario import Fault, Jobs, Scenario
+from simulation.services import LATE_WRITE_S, Rentals, Store
+from simulation.users import Users
 
 KINDS = {"array": "batch", "gang": "group", "service": "daemon"}
 RANKS = {"production": "critical", "high": "urgent", "normal": "normal", "low": "idle"}
@@ -74,7 +74,7 @@
         )
         self.judge.history = [] if keep else None
         self.names = [f"n{number}" for number in range(scenario.nodes)]
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, Controller] = {}
         self.api = {name: Address(f"{name}:8080") for name in self.names}
         self.world = World(self.simulation, self.judge, scenario.workers, self.api)
         self.world.on_start = self._on_start
@@ -171,7 +171,9 @@
     def boot(self, name: str) -> None:
         reactor = self.simulation.boot(self.simulation.hosts[name])
         reactor.ahead_s = dict(zip(self.names, self.scenario.clocks_s, strict=False)).get(name, 0.0)
-        node = self.nodes[name] = Node(reactor, self.settings(name), msgspec.convert(self.scenario.operator, Operator))
+        node = self.nodes[name] = Controller(
+            reactor, self.settings(name), msgspec.convert(self.scenario.operator, OperatorSettings)
+        )
         node.start()
 
     def leader(self) -> str | None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -17,16 +17,16 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-from lab.standins import TYPES, CloudService, FakeNet, StateService, Worker
-from meadowcross.common.settings import Operator, Settings
+from meadowcross.autoscaling.cloud import CloudClient
+from meadowcross.autoscaling.messages import decode_machine_types, encode
+from meadowcross.common.settings import OperatorSettings, Settings
 from meadowcross.common.types import Address, NodeName
-from meadowcross.fleet.cloud import Cloud
-from meadowcross.fleet.messages import decode_types, encode
 from meadowcross.jobs.api import JobApi
 from meadowcross.leadership.election import Election
-from meadowcross.leadership.term import Term
+from meadowcross.leadership.term import LeaderTerm
 from meadowcross.store.client import StoreClient
-from meadowcross.workers.messages import decode_report
+from meadowcross.workers.messages import decode_heartbeat
+from simulation.standins import TYPES, CloudService, FakeNet, StateService, Worker
 from tests.unhandled import UnhandledErrors
 
 pytest_plugins = ["tests.known_red"]
@@ -96,10 +96,10 @@
         self.cloud.on_delete = self.worker_gone
         self.settings = msgspec.convert(SETTINGS, Settings)
         self.store = StoreClient(self.clock, self.net, Address("state:1"), self.settings.facts.state)
-        self.types = decode_types(encode({"builds": TYPES})).types
-        self.operator = Operator(learned_estimates=2.0)
-        self.term: Term | None = None
-        self.terms: list[Term] = []
+        self.types = decode_machine_types(encode({"builds": TYPES})).types
+        self.operator = OperatorSettings(learned_estimates=2.0)
+        self.term: LeaderTerm | None = None
+        self.terms: list[LeaderTerm] = []
         self.reporting = True
         self.peers_hear: int | None = 0
 
@@ -111,9 +111,9 @@
     def worker_gone(self, name: str) -> None:
         self.net.hosts.pop(self.workers.pop(name).machine["addr"], None)
 
-    def begin(self, token: int) -> Term:
-        cloud = Cloud(self.clock, self.net, Address("cloud:1"), self.settings.facts.cloud)
-        self.term = Term(
+    def begin(self, token: int) -> LeaderTerm:
+        cloud = CloudClient(self.clock, self.net, Address("cloud:1"), self.settings.facts.cloud)
+        self.term = LeaderTerm(
             self.clock,
             self.settings,
             self.operator,
@@ -129,7 +129,7 @@
         self.terms.append(self.term)
         return self.term
 
-    def lead(self, life: str = "one") -> Term:
+    def lead(self, life: str = "one") -> LeaderTerm:
         """Elect this node and let the term load."""
         self.election = Election(self.clock, self.store, NodeName("n0"), life, 3.0, self.begin, lambda: None)
         Deferred.fromCoroutine(self.election.run())
@@ -163,7 +163,7 @@
     def report(self, worker: Worker) -> Any:
         if self.term is None or self.term.stopped:
             return None
-        response = self.term.on_report(decode_report(encode(worker.report())))
+        response = self.term.handle_heartbeat(decode_heartbeat(encode(worker.report())))
         if response is not None:
             answer = msgspec.to_builtins(response)
             if answer["crook"] >= worker.token:
--- a/tests/mix.py
+++ b/tests/mix.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from lab.scenario import Fault, Jobs, Team, Type, load
-from lab.world import Lab
+from simulation.scenario import Fault, Jobs, Team, Type, load
+from simulation.world import Lab
 from tests.test_addition import MIX, WHERE
 
 LASTS_S = 200.0
--- a/tests/support/wire_constants.py
+++ b/tests/support/wire_constants.py
@@ -13,28 +13,40 @@
 import msgspec
 from msgspec import Raw
 
-from meadowcross.common.settings import Operator, RelayMode, digest, load_operator, load_settings
-from meadowcross.common.types import JobId, MachineId, Mark, NodeName, TaskId, era_of, mark_of, token_of
+from meadowcross.autoscaling.messages import MACHINE_KEY_PREFIX, MACHINE_TYPES_KEY, machine_key
+from meadowcross.common.settings import (
+    OperatorSettings,
+    RelayMode,
+    load_operator_settings,
+    load_settings,
+    settings_digest,
+)
+from meadowcross.common.types import (
+    JobId,
+    MachineId,
+    NodeName,
+    Revision,
+    TaskId,
+    compose_token,
+    revision_of,
+    store_epoch_of,
+)
 from meadowcross.estimates.messages import class_name, finish_name, key_of, team_name
-from meadowcross.fleet.messages import MACHINES, TYPES_KEY, machine_key
 from meadowcross.jobs.messages import (
-    CHUNKS,
-    ENDED,
-    OPEN,
-    Kind,
+    CHUNK_PREFIX,
+    ENDED_PREFIX,
+    OPEN_PREFIX,
+    JobKind,
+    JobState,
     Priority,
-    Standing,
     chunk_key,
-    chunks_of,
+    chunk_prefix,
     parse_chunk_key,
 )
 from meadowcross.jobs.messages import ended_key as ended_job_key
 from meadowcross.jobs.messages import open_key as open_job_key
-from meadowcross.rebuild.messages import ERA_KEY, LEADER_KEY, PROGRESS_KEY, Stage
-from meadowcross.relay.messages import Outcome
-from meadowcross.snapshots.files import Line, Manifest, write
-from meadowcross.tickets.gateway import load_gateway
-from meadowcross.tickets.records import (
+from meadowcross.openjd.gateway import load_gateway
+from meadowcross.openjd.records import (
     Partition,
     StepState,
     TicketState,
@@ -44,17 +56,20 @@
     piece_key,
     ticket_id,
 )
-from meadowcross.tickets.records import ended_key as ended_ticket_key
-from meadowcross.tickets.records import open_key as open_ticket_key
-from meadowcross.tickets.site import load as load_submitters
+from meadowcross.openjd.records import ended_key as ended_ticket_key
+from meadowcross.openjd.records import open_key as open_ticket_key
+from meadowcross.openjd.site import load as load_submitters
+from meadowcross.recovery.messages import EPOCH_KEY, LEADER_KEY, RECOVERY_PROGRESS_KEY, RecoveryStage
+from meadowcross.relay.messages import DeliveryOutcome
+from meadowcross.snapshots.files import Manifest, SnapshotEntry, write_snapshot
 from meadowcross.workers.messages import (
-    DONE,
-    ERROR,
-    GANG_INCOMPLETE,
-    GANG_LOST,
-    NO_ROOM,
-    STOPPED,
-    UNKNOWN_JOB,
+    EXIT_DONE,
+    EXIT_ERROR,
+    EXIT_GANG_INCOMPLETE,
+    EXIT_GANG_LOST,
+    EXIT_NO_ROOM,
+    EXIT_STOPPED,
+    EXIT_UNKNOWN_JOB,
     TaskState,
 )
 
@@ -63,12 +78,12 @@
 SNAPSHOT_LIMIT_BYTES = 1_000_000
 
 _ENUMERATIONS: dict[str, type[Enum]] = {
-    "job.kind": Kind,
+    "job.kind": JobKind,
     "job.priority": Priority,
-    "job.standing": Standing,
+    "job.standing": JobState,
     "worker.task_state": TaskState,
-    "relay.outcome": Outcome,
-    "rebuild.stage": Stage,
+    "relay.outcome": DeliveryOutcome,
+    "rebuild.stage": RecoveryStage,
     "ticket.step_state": StepState,
     "ticket.state": TicketState,
     "settings.relays": RelayMode,
@@ -80,16 +95,16 @@
     ticket = ticket_id("studio", "key-1")
     return {
         "leader": LEADER_KEY,
-        "era": ERA_KEY,
-        "rebuild": PROGRESS_KEY,
-        "types": TYPES_KEY,
-        "job.prefixes": [OPEN, ENDED, CHUNKS],
+        "era": EPOCH_KEY,
+        "rebuild": RECOVERY_PROGRESS_KEY,
+        "types": MACHINE_TYPES_KEY,
+        "job.prefixes": [OPEN_PREFIX, ENDED_PREFIX, CHUNK_PREFIX],
         "job.open": open_job_key(job),
         "job.ended": ended_job_key(job),
         "job.chunk": chunk_key(job, 17),
-        "job.chunks": chunks_of(job),
+        "job.chunks": chunk_prefix(job),
         "job.chunk_parsed": parse_chunk_key(chunk_key(job, 17)),
-        "machine.prefix": MACHINES,
+        "machine.prefix": MACHINE_KEY_PREFIX,
         "machine": machine_key(MachineId("m-1")),
         "estimates.class": key_of(class_name("render")),
         "estimates.class_hashed": key_of(class_name("render ü" * 20)),
@@ -105,12 +120,20 @@
 
 
 def constants() -> dict[str, Any]:
-    token = token_of(3, Mark(77))
+    token = compose_token(3, Revision(77))
     made = {
         "keys": stored_keys(),
         "values": {key: [member.value for member in kind] for key, kind in _ENUMERATIONS.items()},
-        "reasons": [DONE, ERROR, NO_ROOM, UNKNOWN_JOB, GANG_LOST, GANG_INCOMPLETE, STOPPED],
-        "tokens": [token, era_of(token), mark_of(token), token_of(0, Mark(5))],
+        "reasons": [
+            EXIT_DONE,
+            EXIT_ERROR,
+            EXIT_NO_ROOM,
+            EXIT_UNKNOWN_JOB,
+            EXIT_GANG_LOST,
+            EXIT_GANG_INCOMPLETE,
+            EXIT_STOPPED,
+        ],
+        "tokens": [token, store_epoch_of(token), revision_of(token), compose_token(0, Revision(5))],
         "task": str(TaskId(JobId("wk-123456"), 12)),
     }
     plain: dict[str, Any] = json.loads(json.dumps(made))
@@ -119,32 +142,35 @@
 
 def settings() -> dict[str, Any]:
     """Each settings file as it is read, under the names of its fields on the wire."""
-    platform, operator = load_settings(str(WIRE / "settings.toml")), load_operator(str(WIRE / "operator.xml"))
+    platform, operator = load_settings(str(WIRE / "settings.toml")), load_operator_settings(str(WIRE / "operator.xml"))
     made = {
         "settings.toml": platform,
         "operator.xml": operator,
         "tickets.xml": load_submitters(str(WIRE / "tickets.xml")),
         "gateway.xml": load_gateway(str(WIRE / "gateway.xml")),
-        "operator defaults": Operator(),
-        "digest": digest(platform, operator),
-        "digest of defaults": digest(platform, Operator()),
+        "operator defaults": OperatorSettings(),
+        "digest": settings_digest(platform, operator),
+        "digest of defaults": settings_digest(platform, OperatorSettings()),
     }
     plain: dict[str, Any] = json.loads(msgspec.json.encode(made))
     return plain
 
 
-def write_snapshot(directory: pathlib.Path) -> None:
+def write_sample_snapshot(directory: pathlib.Path) -> None:
     """A full snapshot and one of the changes after it."""
-    full = [Line("j/wk-123456", Mark(5), Raw(b'{"a":1}')), Line("w/m-1", Mark(7), Raw(b"[2]"))]
+    full = [
+        SnapshotEntry("j/wk-123456", Revision(5), Raw(b'{"a":1}')),
+        SnapshotEntry("w/m-1", Revision(7), Raw(b"[2]")),
+    ]
     changes = [
-        Line("e/wk-123456", Mark(12), Raw(b'{"s":"done","n":1}')),
-        Line("j/wk-123456", Mark(12), Raw(b"null"), True),
+        SnapshotEntry("e/wk-123456", Revision(12), Raw(b'{"s":"done","n":1}')),
+        SnapshotEntry("j/wk-123456", Revision(12), Raw(b"null"), True),
     ]
     node, kind, size, checksum = NodeName("controller-0"), "meadowcross snapshot", 0, ""
-    first = Manifest(kind, 1, 2, Mark(9), Mark(0), 2, size, checksum, node, 1000.5)
-    second = Manifest(kind, 1, 2, Mark(14), Mark(9), 2, size, checksum, node, 1060.5)
-    write(str(directory), first, full, SNAPSHOT_LIMIT_BYTES)
-    write(str(directory), second, changes, SNAPSHOT_LIMIT_BYTES)
+    first = Manifest(kind, 1, 2, Revision(9), Revision(0), 2, size, checksum, node, 1000.5)
+    second = Manifest(kind, 1, 2, Revision(14), Revision(9), 2, size, checksum, node, 1060.5)
+    write_snapshot(str(directory), first, full, SNAPSHOT_LIMIT_BYTES)
+    write_snapshot(str(directory), second, changes, SNAPSHOT_LIMIT_BYTES)
 
 
 def _write(name: str, content: Any) -> None:
@@ -155,4 +181,4 @@
     _write("constants.json", constants())
     _write("settings.json", settings())
     SNAPSHOT.mkdir(exist_ok=True)
-    write_snapshot(SNAPSHOT)
+    write_sample_snapshot(SNAPSHOT)
--- a/tests/support/wire_samples.py
+++ b/tests/support/wire_samples.py
@@ -15,29 +15,29 @@
 import msgspec
 from msgspec import Struct, inspect
 
+from meadowcross.autoscaling.messages import (
+    CreateMachinesRequest,
+    ListedMachine,
+    MachineIds,
+    MachineListPage,
+    MachineRecord,
+    MachineType,
+    MachineTypeList,
+    decode_machine_ids,
+    decode_machine_list,
+    decode_machine_types,
+)
+from meadowcross.autoscaling.messages import decode_machine_record as decode_machine_record
+from meadowcross.autoscaling.messages import encode as encode_cloud
 from meadowcross.estimates.history import Run
 from meadowcross.estimates.messages import EntryRecord, TrackRecord, Version, decode_entry, decode_version
 from meadowcross.estimates.messages import encode as encode_estimate
 from meadowcross.estimates.replay import ClassScore, Score
 from meadowcross.estimates.shown import Shown
-from meadowcross.fleet.messages import (
-    ListedMachine,
-    MachineList,
-    MachineNames,
-    MachineRecord,
-    MachineType,
-    RentalRequest,
-    TypeList,
-    decode_list,
-    decode_names,
-    decode_types,
-)
-from meadowcross.fleet.messages import decode_record as decode_machine_record
-from meadowcross.fleet.messages import encode as encode_cloud
 from meadowcross.jobs.messages import (
     EndedRecord,
-    JobAnswer,
     JobRecord,
+    JobResponse,
     JobSpec,
     decode_chunk,
     decode_ended,
@@ -46,76 +46,76 @@
 from meadowcross.jobs.messages import decode_record as decode_job_record
 from meadowcross.jobs.messages import encode as encode_job
 from meadowcross.leadership.messages import (
-    Beat,
-    CancelsTaken,
-    CancelsTold,
-    Forward,
-    Forwarded,
+    CancellationAck,
+    CancellationNotice,
+    ForwardRequest,
+    ForwardResponse,
     LeaderRecord,
-    ProgressAnswer,
-    ProgressQuestion,
+    PeerHeartbeat,
+    ProgressRequest,
+    ProgressResponse,
     decode_leader,
 )
 from meadowcross.leadership.messages import decode as decode_peer
 from meadowcross.leadership.messages import encode as encode_peer
-from meadowcross.rebuild.era import decode_era, decode_progress
-from meadowcross.rebuild.messages import EraRecord, PicturePart, PictureWanted, Progress
+from meadowcross.openjd.intake import Submission
+from meadowcross.openjd.keys import Issued
+from meadowcross.openjd.plan import Plan, Step
+from meadowcross.openjd.records import (
+    Content,
+    Member,
+    StepRecord,
+    TicketRecord,
+    decode_content,
+    decode_member,
+    decode_ticket,
+)
+from meadowcross.openjd.records import encode as encode_ticket
+from meadowcross.recovery.messages import RecoveryProgress, ReplicaPart, ReplicaPartRequest, StoreEpochRecord
+from meadowcross.recovery.store_epochs import decode_epoch_record, decode_progress
 from meadowcross.relay.messages import (
-    CommandsAnswered,
-    CommandsPassed,
-    Grant,
-    Renewals,
-    ReportAnswered,
-    ReportPassed,
-    ResendWanted,
-    SessionsHeld,
+    CommandsAnswer,
+    ForwardedCommands,
+    ForwardedHeartbeat,
+    HeartbeatAnswer,
+    HeartbeatRenewals,
+    RelayedWorkers,
+    RelayGrant,
+    ResendRequest,
 )
-from meadowcross.replica.messages import Handed, Handover, Hints, HintsWanted
-from meadowcross.snapshots.files import Line, Manifest
+from meadowcross.replication.messages import FullHintsRequest, Hints, LeadershipOffer, LeadershipOfferResponse
+from meadowcross.snapshots.files import Manifest, SnapshotEntry
 from meadowcross.store.messages import (
     Condition,
-    Conflict,
-    Drop,
+    ConflictResponse,
+    Delete,
     Event,
-    Events,
-    HoldAnswer,
-    HoldRequest,
     Item,
+    LeaseRequest,
+    LeaseResponse,
     Page,
     Put,
-    Revision,
+    RevisionResponse,
     Transaction,
+    WatchResponse,
     decode_conflict,
-    decode_events,
-    decode_hold,
     decode_item,
+    decode_lease,
     decode_page,
     decode_revision,
+    decode_watch,
 )
 from meadowcross.store.messages import encode as encode_store
-from meadowcross.tickets.intake import Submission
-from meadowcross.tickets.keys import Issued
-from meadowcross.tickets.plan import Plan, Step
-from meadowcross.tickets.records import (
-    Content,
-    Member,
-    StepRecord,
-    TicketRecord,
-    decode_content,
-    decode_member,
-    decode_ticket,
-)
-from meadowcross.tickets.records import encode as encode_ticket
 from meadowcross.workers.messages import (
     Command,
-    Direct,
-    Elsewhere,
-    Report,
-    Reporter,
-    Response,
+    DirectCommands,
+    Heartbeat,
+    HeartbeatHeader,
+    HeartbeatResponse,
+    Redirect,
     TaskReport,
-    decode_report,
-    decode_reporter,
+    decode_heartbeat,
+    decode_heartbeat_header,
 )
 from meadowcross.workers.messages import encode as encode_worker
 
@@ -145,7 +145,7 @@
     "job.spec": Codec(JobSpec, decode_spec, encode_job),
     "job.record": Codec(JobRecord, decode_job_record, encode_job),
     "job.ended": Codec(EndedRecord, decode_ended, encode_job),
-    "job.answer": Codec(JobAnswer, _decoder(JobAnswer), encode_job),
+    "job.answer": Codec(JobResponse, _decoder(JobResponse), encode_job),
     "job.chunk": Codec(list[int | tuple[int, str]], decode_chunk, encode_job),
     "estimates.track": Codec(TrackRecord, _decoder(TrackRecord), encode_estimate),
     "estimates.entry": Codec(EntryRecord, decode_entry, encode_estimate),
@@ -154,57 +154,57 @@
     "estimates.shown": Codec(Shown, _decoder(Shown), msgspec.json.encode),
     "estimates.score": Codec(Score, _decoder(Score), msgspec.json.encode),
     "estimates.class_score": Codec(ClassScore, _decoder(ClassScore), msgspec.json.encode),
-    "relay.grant": Codec(Grant, decode_peer, encode_peer),
-    "relay.renewals": Codec(Renewals, decode_peer, encode_peer),
-    "relay.resend": Codec(ResendWanted, decode_peer, encode_peer),
-    "relay.held": Codec(SessionsHeld, decode_peer, encode_peer),
-    "relay.report_question": Codec(ReportPassed, decode_peer, encode_peer),
-    "relay.report_answer": Codec(ReportAnswered, decode_peer, encode_peer),
-    "relay.commands_question": Codec(CommandsPassed, decode_peer, encode_peer),
-    "relay.commands_answer": Codec(CommandsAnswered, decode_peer, encode_peer),
+    "relay.grant": Codec(RelayGrant, decode_peer, encode_peer),
+    "relay.renewals": Codec(HeartbeatRenewals, decode_peer, encode_peer),
+    "relay.resend": Codec(ResendRequest, decode_peer, encode_peer),
+    "relay.held": Codec(RelayedWorkers, decode_peer, encode_peer),
+    "relay.report_question": Codec(ForwardedHeartbeat, decode_peer, encode_peer),
+    "relay.report_answer": Codec(HeartbeatAnswer, decode_peer, encode_peer),
+    "relay.commands_question": Codec(ForwardedCommands, decode_peer, encode_peer),
+    "relay.commands_answer": Codec(CommandsAnswer, decode_peer, encode_peer),
     "leadership.leader_record": Codec(LeaderRecord, decode_leader, encode_peer),
-    "leadership.beat": Codec(Beat, decode_peer, encode_peer),
-    "leadership.progress_question": Codec(ProgressQuestion, decode_peer, encode_peer),
-    "leadership.progress_answer": Codec(ProgressAnswer, decode_peer, encode_peer),
-    "leadership.forward": Codec(Forward, decode_peer, encode_peer),
-    "leadership.forwarded": Codec(Forwarded, decode_peer, encode_peer),
-    "leadership.cancels_question": Codec(CancelsTold, decode_peer, encode_peer),
-    "leadership.cancels_answer": Codec(CancelsTaken, decode_peer, encode_peer),
+    "leadership.beat": Codec(PeerHeartbeat, decode_peer, encode_peer),
+    "leadership.progress_question": Codec(ProgressRequest, decode_peer, encode_peer),
+    "leadership.progress_answer": Codec(ProgressResponse, decode_peer, encode_peer),
+    "leadership.forward": Codec(ForwardRequest, decode_peer, encode_peer),
+    "leadership.forwarded": Codec(ForwardResponse, decode_peer, encode_peer),
+    "leadership.cancels_question": Codec(CancellationNotice, decode_peer, encode_peer),
+    "leadership.cancels_answer": Codec(CancellationAck, decode_peer, encode_peer),
     "replica.hints": Codec(Hints, decode_peer, encode_peer),
-    "replica.hints_wanted": Codec(HintsWanted, decode_peer, encode_peer),
-    "replica.handover_question": Codec(Handover, decode_peer, encode_peer),
-    "replica.handover_answer": Codec(Handed, decode_peer, encode_peer),
-    "rebuild.era_record": Codec(EraRecord, decode_era, encode_peer),
-    "rebuild.progress": Codec(Progress, decode_progress, encode_peer),
-    "rebuild.picture_wanted": Codec(PictureWanted, decode_peer, encode_peer),
-    "rebuild.picture_part": Codec(PicturePart, decode_peer, encode_peer),
+    "replica.hints_wanted": Codec(FullHintsRequest, decode_peer, encode_peer),
+    "replica.handover_question": Codec(LeadershipOffer, decode_peer, encode_peer),
+    "replica.handover_answer": Codec(LeadershipOfferResponse, decode_peer, encode_peer),
+    "rebuild.era_record": Codec(StoreEpochRecord, decode_epoch_record, encode_peer),
+    "rebuild.progress": Codec(RecoveryProgress, decode_progress, encode_peer),
+    "rebuild.picture_wanted": Codec(ReplicaPartRequest, decode_peer, encode_peer),
+    "rebuild.picture_part": Codec(ReplicaPart, decode_peer, encode_peer),
     "store.item": Codec(Item, decode_item, encode_store),
     "store.page": Codec(Page, decode_page, encode_store),
-    "store.revision": Codec(Revision, decode_revision, encode_store),
-    "store.conflict": Codec(Conflict, decode_conflict, encode_store),
-    "store.hold_answer": Codec(HoldAnswer, decode_hold, encode_store),
-    "store.hold_request": Codec(HoldRequest, _decoder(HoldRequest), encode_store),
+    "store.revision": Codec(RevisionResponse, decode_revision, encode_store),
+    "store.conflict": Codec(ConflictResponse, decode_conflict, encode_store),
+    "store.hold_answer": Codec(LeaseResponse, decode_lease, encode_store),
+    "store.hold_request": Codec(LeaseRequest, _decoder(LeaseRequest), encode_store),
     "store.event": Codec(Event, _decoder(Event), encode_store),
-    "store.events": Codec(Events, decode_events, encode_store),
+    "store.events": Codec(WatchResponse, decode_watch, encode_store),
     "store.condition": Codec(Condition, _decoder(Condition), encode_store),
     "store.put": Codec(Put, _decoder(Put), encode_store),
-    "store.drop": Codec(Drop, _decoder(Drop), encode_store),
+    "store.drop": Codec(Delete, _decoder(Delete), encode_store),
     "worker.task_report": Codec(TaskReport, _decoder(TaskReport), encode_worker),
-    "worker.report": Codec(Report, decode_report, encode_worker),
-    "worker.reporter": Codec(Reporter, decode_reporter, encode_worker),
+    "worker.report": Codec(Heartbeat, decode_heartbeat, encode_worker),
+    "worker.reporter": Codec(HeartbeatHeader, decode_heartbeat_header, encode_worker),
     "worker.command": Codec(Command, _decoder(Command), encode_worker),
-    "worker.response": Codec(Response, _decoder(Response), encode_worker),
-    "worker.direct": Codec(Direct, _decoder(Direct), encode_worker),
-    "worker.elsewhere": Codec(Elsewhere, _decoder(Elsewhere), encode_worker),
+    "worker.response": Codec(HeartbeatResponse, _decoder(HeartbeatResponse), encode_worker),
+    "worker.direct": Codec(DirectCommands, _decoder(DirectCommands), encode_worker),
+    "worker.elsewhere": Codec(Redirect, _decoder(Redirect), encode_worker),
     "cloud.machine_type": Codec(MachineType, _decoder(MachineType), encode_cloud),
-    "cloud.type_list": Codec(TypeList, decode_types, encode_cloud),
-    "cloud.rental_request": Codec(RentalRequest, _decoder(RentalRequest), encode_cloud),
-    "cloud.machine_names": Codec(MachineNames, decode_names, encode_cloud),
+    "cloud.type_list": Codec(MachineTypeList, decode_machine_types, encode_cloud),
+    "cloud.rental_request": Codec(CreateMachinesRequest, _decoder(CreateMachinesRequest), encode_cloud),
+    "cloud.machine_names": Codec(MachineIds, decode_machine_ids, encode_cloud),
     "cloud.listed_machine": Codec(ListedMachine, _decoder(ListedMachine), encode_cloud),
-    "cloud.machine_list": Codec(MachineList, decode_list, encode_cloud),
+    "cloud.machine_list": Codec(MachineListPage, decode_machine_list, encode_cloud),
     "cloud.machine_record": Codec(MachineRecord, decode_machine_record, encode_cloud),
     "snapshot.manifest": Codec(Manifest, _decoder(Manifest), msgspec.json.encode),
-    "snapshot.line": Codec(Line, _decoder(Line), msgspec.json.Encoder().encode),
+    "snapshot.line": Codec(SnapshotEntry, _decoder(SnapshotEntry), msgspec.json.Encoder().encode),
     "ticket.step_record": Codec(StepRecord, _decoder(StepRecord), encode_ticket),
     "ticket.record": Codec(TicketRecord, decode_ticket, encode_ticket),
     "ticket.content": Codec(Content, decode_content, encode_ticket),
--- a/tests/test_addition.py
+++ b/tests/test_addition.py
@@ -6,14 +6,14 @@
 import msgspec
 import pytest
 
-from lab.judge import BEGIN_S, FORGOTTEN_S, Judge, Spec
-from lab.scenario import Fault, load
-from lab.world import Lab
-from meadowcross.common.http import Answer
+from meadowcross.common.http import ServerResponse
 from meadowcross.jobs.api import JobApi
-from meadowcross.leadership.term import Term
-from meadowcross.leadership.view import View
-from meadowcross.workers.roster import Roster
+from meadowcross.leadership.scheduling_view import SchedulingView
+from meadowcross.leadership.term import LeaderTerm
+from meadowcross.workers.registry import WorkerRegistry
+from simulation.judge import BEGIN_S, FORGOTTEN_S, Judge, Spec
+from simulation.scenario import Fault, load
+from simulation.world import Lab
 from tests.test_lab import EXAMPLES, placements_forgotten
 
 WHERE = EXAMPLES[0].parent
@@ -27,7 +27,7 @@
 
 
 def ready(node):
-    handler, _ = node.router.find("GET", "/ready")
+    handler, _ = node.router.resolve("GET", "/ready")
     return handler(b"").status
 
 
@@ -43,7 +43,7 @@
     assert old.stopped, "a report with the next leader's token ends it, though neither store nor peers can tell"
     assert ready(node) == 503
     new = world.nodes[world.leader()].term
-    assert sum(m.reported_at is not None for m in new.roster.machines.values()) == len(world.machines)
+    assert sum(m.last_heartbeat_at is not None for m in new.worker_registry.machines.values()) == len(world.machines)
     world.simulation.run(52.0)
     assert ready(node) == 200, "it comes back by itself"
     assert world.play()["broken"] == []
@@ -108,54 +108,56 @@
     asked = JobApi.query
 
     async def query(self, job):
-        return Answer(503, b"{}") if job == "wk-000007" else await asked(self, job)
+        return ServerResponse(503, b"{}") if job == "wk-000007" else await asked(self, job)
 
     monkeypatch.setattr(JobApi, "query", query)
 
 
 def deaf_is_gone(monkeypatch):
     """What commands don't reach counts as gone, though it reports."""
-    look = Term._on_tick
+    look = LeaderTerm._on_tick
 
     def tick(self):
-        for machine in list(self.roster.machines.values()):
-            away = machine.deaf_since is not None or self.view.silent(machine)
+        for machine in list(self.worker_registry.machines.values()):
+            away = machine.unresponsive_since is not None or self.scheduling_view.is_silent(machine)
             for placement in list(machine.placements.values()) if away and self.loaded else []:
-                self.roster.detach(placement, self.book.jobs[placement.task.job].spec, self.now)
-                self.book.gone(placement)
+                self.worker_registry.unassign(placement, self.job_table.jobs[placement.task.job].spec, self.now)
+                self.job_table.release(placement)
         look(self)
 
-    monkeypatch.setattr(Term, "_on_tick", tick)
+    monkeypatch.setattr(LeaderTerm, "_on_tick", tick)
 
 
 def copies_are_new(monkeypatch):
     """Whatever arrives is taken for the newest report."""
-    take = Term._take
+    take = LeaderTerm._apply_heartbeat
 
     def taken(self, report):
-        machine = self.roster.machines.get(report.machine)
+        machine = self.worker_registry.machines.get(report.machine)
         if machine is not None and report.token >= self.token:
-            machine.version = machine.version._replace(session=0, seq=0)
+            machine.heartbeat_version = machine.heartbeat_version._replace(incarnation=0, sequence=0)
         return take(self, report)
 
-    monkeypatch.setattr(Term, "_take", taken)
+    monkeypatch.setattr(LeaderTerm, "_apply_heartbeat", taken)
 
 
 def lonely_for_ever(monkeypatch):
     """A lonely leader keeps its workers whatever token they show."""
-    apply = Roster.apply
+    apply = WorkerRegistry.apply_heartbeat
 
     def applied(self, machine, report, now):
         # Passed over as a whole. With its token lowered instead, the next leader's tasks in it counted as proof that
         # records were lost, and the lonely leader stood down for that: another guard hid the fault.
         return None if report.token > self.token else apply(self, machine, report, now)
 
-    monkeypatch.setattr(Roster, "apply", applied)
+    monkeypatch.setattr(WorkerRegistry, "apply_heartbeat", applied)
 
 
 def largest_starved(monkeypatch):
-    wants = View.wants
-    monkeypatch.setattr(View, "wants", lambda self: [want for want in wants(self) if want.spec.tasks < 12])
+    wants = SchedulingView.pending_jobs
+    monkeypatch.setattr(
+        SchedulingView, "pending_jobs", lambda self: [want for want in wants(self) if want.spec.tasks < 12]
+    )
 
 
 FAULTS = [
--- a/tests/test_aims.py
+++ b/tests/test_aims.py
@@ -6,11 +6,11 @@
 import pytest
 
 from meadowcross.common.settings import Objective
-from meadowcross.jobs.aims import NO_DUE, Aims, slack
 from meadowcross.jobs.messages import JobSpec
+from meadowcross.jobs.objectives import NO_DEADLINE_S, ServiceLevelObjectives, slack
 from tests.conftest import job
 
-AIMS = Aims(
+AIMS = ServiceLevelObjectives(
     [
         Objective("deadline", "train", 0.9, 1.5),
         Objective("deadline", "train", 0.9, 1.0),
@@ -28,7 +28,7 @@
     ("far too late", "train", 90.0, 1000.0, 30.0, 135.0 * 1.5**5 - 1030.0),
     ("longer than its deadline from the start", "train", 90.0, 0.0, 130.0, 5.0),
     ("no deadline of its own, an aim on its end", "slow", None, 100.0, 50.0, 100.0),
-    ("neither", "other", None, 100.0, 50.0, NO_DUE),
+    ("neither", "other", None, 100.0, 50.0, NO_DEADLINE_S),
     ("a deadline that no aim counts", "other", 90.0, 100.0, 50.0, 52.5),
 ]
 
@@ -38,14 +38,14 @@
 )
 def test_slack(job_class, deadline, elapsed, run, left):
     spec = msgspec.convert(job(herd=job_class, sundownS=deadline), JobSpec)
-    assert slack(AIMS.dues(spec), elapsed, run) == pytest.approx(left)
+    assert slack(AIMS.deadlines(spec), elapsed, run) == pytest.approx(left)
 
 
 @pytest.mark.parametrize(
     ("job_class", "elapsed", "left"),
-    [("train", 0.2, 0.8), ("train", 1.5, 28.5), ("train", 31.0, NO_DUE), ("other", 0.0, NO_DUE)],
+    [("train", 0.2, 0.8), ("train", 1.5, 28.5), ("train", 31.0, NO_DEADLINE_S), ("other", 0.0, NO_DEADLINE_S)],
 )
 def test_several_aims_on_the_start_are_met_one_after_the_other(job_class, elapsed, left):
     """Once the last aim named stood for all: a class to start within 1 s and within 30 s had 30."""
     assert AIMS.start_slack(msgspec.convert(job(herd=job_class), JobSpec), elapsed) == pytest.approx(left)
-    assert AIMS.start_within("train") == 1.0
+    assert AIMS.shortest_start_s("train") == 1.0
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -11,14 +11,14 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from meadowcross.common.http import MAX_BODY, Answer, Router, api_factory
-from meadowcross.common.types import NodeName, Token
-from meadowcross.jobs.api import MAX_OPEN_REQUESTS, Trust
-from meadowcross.jobs.lookup import MAX_AWAITED
-from meadowcross.jobs.messages import EndedRecord, Progress, Standing
-from meadowcross.leadership.messages import Beat
-from meadowcross.leadership.peerlink import PeerLink, _Line
-from meadowcross.store.messages import raw
+from meadowcross.common.http import MAX_BODY, Router, ServerResponse, build_api_factory
+from meadowcross.common.types import FencingToken, NodeName
+from meadowcross.jobs.api import MAX_OPEN_REQUESTS, StoreTrust
+from meadowcross.jobs.job_reader import MAX_END_WAITERS
+from meadowcross.jobs.messages import EndedRecord, JobProgress, JobState
+from meadowcross.leadership.messages import PeerHeartbeat
+from meadowcross.leadership.peer_link import PeerLink, PeerProtocol
+from meadowcross.store.messages import encode_raw
 from tests.conftest import job
 
 BAD = [
@@ -114,7 +114,7 @@
     world.submit()
     words = []
     api = world.api()
-    api._trust = Trust(cancelled=lambda *word: words.append(word))
+    api._trust = StoreTrust(on_cancelled=lambda *word: words.append(word))
     before = world.clock.seconds()
     answer = world.run(api.cancel("wk-000001"), 4.0)
     assert (answer.status, answer.retry_after) == (503, 1) and 2.0 < world.clock.seconds() - before < 3.0
@@ -123,15 +123,15 @@
     for again in (world.submit(), world.run(api.query("wk-000001"))):
         assert again.status == 200 and json.loads(again.body)["standing"] == "pending"
     answers, calls = [], len(world.net.calls)
-    for _ in range(MAX_AWAITED + 5):
+    for _ in range(MAX_END_WAITERS + 5):
         Deferred.fromCoroutine(api.cancel("wk-000001")).addCallback(answers.append)
     world.pass_time(1.0)
     assert [one.status for one in answers] == [503] * 5 and len(world.net.calls) - calls < 10
     # Followed: whoever waits hears of it at once, but not of an end that is not proven.
     for proven in (False, True):
         assert len(answers) == 5
-        api.ended("e/wk-000001", raw(EndedRecord(Standing.CANCELLED, 2, proven)))
-    assert len(answers) == MAX_AWAITED + 5 and api._lookup._awaited == {}
+        api.on_ended_stored("e/wk-000001", encode_raw(EndedRecord(JobState.CANCELLED, 2, proven)))
+    assert len(answers) == MAX_END_WAITERS + 5 and api._reader._end_waiters == {}
     assert {json.loads(one.body)["standing"] for one in answers[5:]} == {"cancelled"}
 
 
@@ -157,10 +157,10 @@
 ELSEWHERE = [
     # name, whether the store refuses this node, whether a peer has it, what a peer answers, status here
     ("the store answers", False, True, None, 201),
-    ("only this node is refused", True, True, Answer(201, b"{}\n"), 201),
-    ("the peer refuses too, with a time to come back", True, True, Answer(503, b"{}\n", 1), 503),
+    ("only this node is refused", True, True, ServerResponse(201, b"{}\n"), 201),
+    ("the peer refuses too, with a time to come back", True, True, ServerResponse(503, b"{}\n", 1), 503),
     ("the peer does not answer in time", True, True, None, 503),
-    ("no node has the store", True, False, Answer(201, b"{}\n"), 503),
+    ("no node has the store", True, False, ServerResponse(201, b"{}\n"), 503),
 ]
 
 
@@ -207,18 +207,18 @@
     """Two peer links joined by a line; returns the asking one."""
 
     def link(name, store_ok):
-        beat = Beat(NodeName(name), store_ok, Token(7) if store_ok else None, 5)
+        beat = PeerHeartbeat(NodeName(name), store_ok, FencingToken(7) if store_ok else None, 5)
         return PeerLink(world.clock, [], lambda: beat, counts.get, lambda beat: None, serve)
 
     asking, asked = link("n0", False), link("n1", True)
-    ends = _Line(asking), _Line(asked)
+    ends = PeerProtocol(asking), PeerProtocol(asked)
     ends[0].peer = NodeName("n1")
     # The one that only answers first: the other speaks as soon as it is connected.
     for end, other in (ends[::-1], ends):
         wire = Wire()
         wire.other = other
         end.makeConnection(wire)
-    ends[1].send(asked._own_beat())
+    ends[1].send(asked._own_heartbeat())
     return asking
 
 
@@ -227,24 +227,26 @@
 
     async def serve(operation, job_text, body):
         served.append((operation, job_text, len(body)))
-        return Answer(503 if operation == "cancel" else 200, b'{"x":"\\u00e9"}\n', 1 if operation == "cancel" else None)
+        return ServerResponse(
+            503 if operation == "cancel" else 200, b'{"x":"\\u00e9"}\n', 1 if operation == "cancel" else None
+        )
 
-    link = linked(world, serve, {"wk-000001": Progress(3, 2, (1.0, 2.0, 3.0))})
+    link = linked(world, serve, {"wk-000001": JobProgress(3, 2, (1.0, 2.0, 3.0))})
     # The largest body that is taken, of characters that JSON escapes.
     body = b'"' * MAX_BODY
-    assert world.run(link.forward("submit", "", body)) == Answer(200, b'{"x":"\\u00e9"}\n')
+    assert world.run(link.forward("submit", "", body)) == ServerResponse(200, b'{"x":"\\u00e9"}\n')
     assert world.run(link.forward("cancel", "wk-000001", b"")).retry_after == 1
     assert served == [("submit", "", MAX_BODY), ("cancel", "wk-000001", 0)]
-    assert (link.peer_has_store(), link.most_heard(), link.leading()) == (True, 5, ("n1", 7))
+    assert (link.peer_has_store(), link.most_workers_heard(), link.reported_leader()) == (True, 5, ("n1", 7))
     answers = []
     for name in ("wk-000001", "wk-000002", "wk-000001"):
-        link.ask_progress(NodeName("n1"), name).addCallback(answers.append)
+        link.request_progress(NodeName("n1"), name).addCallback(answers.append)
     world.pass_time(0.1)
-    assert answers == [(3, 2, (1.0, 2.0, 3.0)), (3, 2, (1.0, 2.0, 3.0)), None] and link._questions._number == 3
+    assert answers == [(3, 2, (1.0, 2.0, 3.0)), (3, 2, (1.0, 2.0, 3.0)), None] and link._requests._last_number == 3
     # A peer that has fallen silent is asked no more.
     world.clock.advance(10.0)
     assert world.run(link.forward("query", "wk-000001", b"")) is None
-    assert (link.peer_has_store(), link.most_heard(), link.leading()) == (False, None, None)
+    assert (link.peer_has_store(), link.most_workers_heard(), link.reported_leader()) == (False, None, None)
 
 
 def test_a_storm_of_questions_is_refused_at_once_and_keeps_nobody_from_submitting(world):
@@ -260,11 +262,11 @@
     assert submitted[0].status == 201
     assert [a.status for a in answers].count(404) >= MAX_OPEN_REQUESTS - 1
     # All that was open is closed again.
-    assert world.run(api._guarded("query")(b"", "wk-000001")).status == 200 and not +api._open
+    assert world.run(api._guarded("query")(b"", "wk-000001")).status == 200 and not +api._open_requests
 
 
 def test_a_node_keeps_sockets_back_for_what_it_asks_itself():
-    factory = api_factory(Router(), Clock(), most=2)
+    factory = build_api_factory(Router(), Clock(), max_connections=2)
     first, second = (factory.buildProtocol(None) for _ in range(2))
     for channel in (first, second):
         channel.makeConnection(StringTransport())
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from lab.standins import TYPES
-from meadowcross.fleet.boots import Boots
-from meadowcross.fleet.messages import decode_types, encode
+from meadowcross.autoscaling.boot_times import BootTimeEstimator
+from meadowcross.autoscaling.messages import decode_machine_types, encode
+from simulation.standins import TYPES
 
-SMALL, LARGE = decode_types(encode({"builds": [dict(t, readyS=40.0) for t in TYPES]})).types
+SMALL, LARGE = decode_machine_types(encode({"builds": [dict(t, readyS=40.0) for t in TYPES]})).types
 
 CASES = [
     # name, boots seen a moment ago, expected, given up after
@@ -23,13 +23,13 @@
 
 @pytest.mark.parametrize(("seen", "expected", "given_up"), [c[1:] for c in CASES], ids=[c[0] for c in CASES])
 def test_boots(seen, expected, given_up):
-    boots = Boots()
+    boots = BootTimeEstimator()
     for took in seen:
-        boots.came_up(SMALL, took, 1000.0)
+        boots.record_boot(SMALL, took, 1000.0)
     now = 1010.0
-    assert boots.expected(SMALL, now) == expected and boots.patience(SMALL, now) == given_up
+    assert boots.expected_boot_s(SMALL, now) == expected and boots.give_up_after_s(SMALL, now) == given_up
     # Other types, and times long past, say nothing.
-    assert boots.expected(LARGE, now) == 40.0 and boots.expected(SMALL, 1200.0) == 40.0
+    assert boots.expected_boot_s(LARGE, now) == 40.0 and boots.expected_boot_s(SMALL, 1200.0) == 40.0
 
 
 LATE = [
@@ -44,10 +44,10 @@
 
 @pytest.mark.parametrize(("came", "waiting", "late_after"), [c[1:] for c in LATE], ids=[c[0] for c in LATE])
 def test_late_machines_are_not_counted_on_where_more_are_late_than_usual(came, waiting, late_after):
-    boots = Boots()
+    boots = BootTimeEstimator()
     for _ in range(came):
-        boots.came_up(SMALL, 40.0, 1000.0)
-    assert boots.late_after(SMALL, waiting, 1010.0) == late_after
+        boots.record_boot(SMALL, 40.0, 1000.0)
+    assert boots.overdue_after_s(SMALL, waiting, 1010.0) == late_after
 
 
 def test_what_waits_for_a_late_machine_is_rented_for_again(world):
--- a/tests/test_cancels.py
+++ b/tests/test_cancels.py
@@ -10,21 +10,21 @@
 import pytest
 from twisted.internet.testing import StringTransport
 
-from lab.machines import Machine
-from lab.net import Cut
-from lab.scenario import Fault, Jobs, load
-from lab.world import Lab
-from meadowcross.common.types import Mark, Token
-from meadowcross.jobs.api import JobApi, answer_of
-from meadowcross.jobs.book import Phase
-from meadowcross.jobs.messages import Standing
-from meadowcross.leadership import term_cancels
-from meadowcross.leadership.cancels import MAX_REMEMBERED, Cancels
-from meadowcross.leadership.messages import MAX_CANCELS, CancelsTold, decode, encode
-from meadowcross.leadership.peerlink import PeerLink, _Line
-from meadowcross.leadership.term import Term
-from meadowcross.replica.follower import Follower
-from meadowcross.replica.picture import Picture
+from meadowcross.common.types import FencingToken, Revision
+from meadowcross.jobs.api import JobApi, job_response
+from meadowcross.jobs.job_table import PlacementPhase
+from meadowcross.jobs.messages import JobState
+from meadowcross.leadership import cancellation_tracker
+from meadowcross.leadership.cancellation_broadcast import MAX_REMEMBERED_JOBS, CancellationBroadcast
+from meadowcross.leadership.messages import MAX_CANCELLATIONS, CancellationNotice, decode, encode
+from meadowcross.leadership.peer_link import PeerLink, PeerProtocol
+from meadowcross.leadership.term import LeaderTerm
+from meadowcross.replication.follower import ReplicaFollower
+from meadowcross.replication.store_replica import StoreReplica
+from simulation.machines import Machine
+from simulation.net import Cut
+from simulation.scenario import Fault, Jobs, load
+from simulation.world import Lab
 from tests.test_addition import WHERE
 from tests.test_meetings import signs_of
 
@@ -193,7 +193,7 @@
     def look():
         old = lab.nodes[gap.leaders[0]].term
         assert not old.stopped
-        gap.unreached = sum(m.reported_at > 1053.0 for m in old.roster.machines.values() if m.up)
+        gap.unreached = sum(m.last_heartbeat_at > 1053.0 for m in old.worker_registry.machines.values() if m.is_up)
         judge = lab.judge
         on = [seen for name, seen in judge.jobs.items() if judge.is_on(name) and (seen.cancel_asked or 0.0) > REFUSED_S]
         gap.held = [seen.cancel_told is not None for seen in on]
@@ -243,19 +243,19 @@
 
 def leader_of_before(gap):
     """The first leader is of the version before: it drops the word as of an unknown kind."""
-    received = PeerLink.received
+    received = PeerLink.on_message
 
     def without(self, line, message):
-        if not isinstance(message, CancelsTold):
+        if not isinstance(message, CancellationNotice):
             received(self, line, message)
 
-    gap.patch.setattr(PeerLink, "received", without)
+    gap.patch.setattr(PeerLink, "on_message", without)
 
 
 def outage_before_reading(gap):
     """The second leader's first read fails, and all others for as long as the outage lasts."""
     lab = gap.lab
-    picture, began = Term._picture, []
+    picture, began = LeaderTerm._read_stored_state, []
     gap.waited = 0.0
 
     async def read(self):
@@ -264,10 +264,10 @@
             lab.strike(msgspec.convert(OUTAGE | {"for_s": 28.0}, Fault))
         found = await picture(self)
         if began and self is began[0]:
-            gap.waited = self.now - self._began
+            gap.waited = self.now - self._started_at
         return found
 
-    gap.patch.setattr(Term, "_picture", read)
+    gap.patch.setattr(LeaderTerm, "_read_stored_state", read)
 
 
 HANGS = {"kind": "cancel_now", "at_s": 29.0, "count": 20}
@@ -369,61 +369,61 @@
     """As soon as the cancel is stored."""
 
     async def cancelled(self, job, found, until):
-        self._trust.cancelled(job, found.mark, found.unrecorded)
-        return answer_of(job, Standing.CANCELLED, 0, 0)
+        self._trust.on_cancelled(job, found.mod_revision, found.is_unrecorded)
+        return job_response(job, JobState.CANCELLED, 0, 0)
 
-    monkeypatch.setattr(JobApi, "_cancelled", cancelled)
+    monkeypatch.setattr(JobApi, "_await_cancellation", cancelled)
 
 
 def not_told_to_the_leader(monkeypatch):
-    monkeypatch.setattr(Cancels, "tell", lambda self, job, mark, unrecorded: None)
+    monkeypatch.setattr(CancellationBroadcast, "announce", lambda self, job, mark, unrecorded: None)
 
 
 def taken_and_not_acted_on(monkeypatch):
-    monkeypatch.setattr(Term, "take_cancels", lambda self, told: self.loaded)
+    monkeypatch.setattr(LeaderTerm, "apply_announced_cancellations", lambda self, told: self.loaded)
 
 
 def nothing_stopped_before_reading(monkeypatch):
-    monkeypatch.setattr(Term, "_stops", lambda self, report: [])
+    monkeypatch.setattr(LeaderTerm, "_stops_before_load", lambda self, report: [])
 
 
 def stops_not_repeated(monkeypatch):
-    monkeypatch.setattr(term_cancels, "unheard_stops", lambda jobs, now, most: [])
+    monkeypatch.setattr(cancellation_tracker, "unacknowledged_stops", lambda jobs, now, most: [])
 
 
 def fetching_counts_as_gone(monkeypatch):
     """What has not begun to run when its job is called off counts as never placed."""
-    clear = Term._clear
+    clear = LeaderTerm._stop_all_tasks
 
     def cleared(self, job):
-        for placement in list(job.placed.values()):
-            if placement.phase in (Phase.SENT, Phase.FETCHING):
-                self.roster.detach(placement, job.spec, self.now)
-                self.book.gone(placement)
+        for placement in list(job.placements.values()):
+            if placement.phase in (PlacementPhase.SENT, PlacementPhase.FETCHING):
+                self.worker_registry.unassign(placement, job.spec, self.now)
+                self.job_table.release(placement)
         clear(self, job)
 
-    monkeypatch.setattr(Term, "_clear", cleared)
+    monkeypatch.setattr(LeaderTerm, "_stop_all_tasks", cleared)
 
 
 def queued_starts_leave(monkeypatch):
     """A start that waits behind others is sent whatever has become of its job."""
-    monkeypatch.setattr(Term, "_may_start", lambda self, placement: not self._stopped)
+    monkeypatch.setattr(LeaderTerm, "_may_start", lambda self, placement: not self._stopped)
 
 
 def hung_counts_as_gone(monkeypatch):
     """What a machine that is silent has of a job that was called off counts as gone after a few seconds."""
-    look = Term._on_tick
+    look = LeaderTerm._on_tick
 
     def tick(self):
-        for job in list(self.book.jobs.values()):
-            for placement in list(job.placed.values()) if job.cancelled is not None else []:
-                if placement.stop_at is not None and self.now - placement.stop_at > 3.0:
-                    self.roster.detach(placement, job.spec, self.now)
-                    self.book.gone(placement)
-                    self._after_change(job)
+        for job in list(self.job_table.jobs.values()):
+            for placement in list(job.placements.values()) if job.cancelled_at is not None else []:
+                if placement.stop_requested_at is not None and self.now - placement.stop_requested_at > 3.0:
+                    self.worker_registry.unassign(placement, job.spec, self.now)
+                    self.job_table.release(placement)
+                    self._after_release(job)
         look(self)
 
-    monkeypatch.setattr(Term, "_on_tick", tick)
+    monkeypatch.setattr(LeaderTerm, "_on_tick", tick)
 
 
 FAULTS = [
@@ -461,8 +461,8 @@
     def __init__(self, takes=True):
         self.takes, self.taken = takes, []
 
-    def take_cancels(self, told):
-        self.taken.append(dict(told.jobs))
+    def apply_announced_cancellations(self, told):
+        self.taken.append(dict(told.revisions))
         return self.takes
 
 
@@ -474,7 +474,7 @@
         told.append((name, message))
         return answers.pop(0) if answers else False
 
-    return Cancels(world.clock, lambda: term, lambda: known, ask), told
+    return CancellationBroadcast(world.clock, lambda: term, lambda: known, ask), told
 
 
 NAME = "wk-000001"
@@ -487,43 +487,46 @@
 
 
 def test_hundreds_of_cancels_cost_a_few_messages(world):
-    cancels, told = node(world, known=("n1", Token(7)), answers=[True] * 9)
+    cancels, told = node(world, known=("n1", FencingToken(7)), answers=[True] * 9)
     for number in range(400):
-        cancels.tell(f"wk-{number:06d}", Mark(50 + number), False)
+        cancels.announce(f"wk-{number:06d}", Revision(50 + number), False)
     world.pass_time(2.0)
-    assert len(told) == 1 and len(told[0][1].jobs) == 400 and cancels.is_told("wk-000399")
+    assert len(told) == 1 and len(told[0][1].revisions) == 400 and cancels.is_announced("wk-000399")
 
 
 @pytest.mark.parametrize(("token", "again"), [one[1:] for one in LATER], ids=[one[0] for one in LATER])
 def test_the_word_is_repeated_until_it_is_taken_in_or_whoever_leads_has_read_it(world, token, again):
-    cancels, told = node(world, known=("n1", Token(7)), answers=[False] * 5 + [True])
-    cancels.tell(NAME, Mark(50), False)
+    cancels, told = node(world, known=("n1", FencingToken(7)), answers=[False] * 5 + [True])
+    cancels.announce(NAME, Revision(50), False)
     # All may be without the store meanwhile; the leader hears it all the same.
     world.pass_time(8.0)
-    assert len(told) == 6 and all(message.jobs == {NAME: 50} for _, message in told)
-    known = ["n1", Token(7)]
+    assert len(told) == 6 and all(message.revisions == {NAME: 50} for _, message in told)
+    known = ["n1", FencingToken(7)]
     other, told = node(world)
-    other._leader = lambda: tuple(known)
-    other.tell(NAME, Mark(50), False)
-    other.tell("wk-000002", Mark(50), True)
+    other._known_leader = lambda: tuple(known)
+    other.announce(NAME, Revision(50), False)
+    other.announce("wk-000002", Revision(50), True)
     world.pass_time(2.0)
-    known[1] = Token(token)
+    known[1] = FencingToken(token)
     world.pass_time(1.2)
     count = len(told)
     world.pass_time(5.0)
     later = [message for _, message in told[count:]]
     # What is on no record, a leader reads nowhere.
     assert len(later) >= 4 and all(message.unrecorded == ["wk-000002"] for message in later)
-    assert all((NAME in message.jobs) is again for message in later)
+    assert all((NAME in message.revisions) is again for message in later)
 
 
 def test_a_leader_that_never_answers_is_told_of_the_newest_only(world):
-    cancels, told = node(world, known=("n1", Token(7)))
-    names = [f"wk-{number:06d}" for number in range(MAX_CANCELS + 100)]
+    cancels, told = node(world, known=("n1", FencingToken(7)))
+    names = [f"wk-{number:06d}" for number in range(MAX_CANCELLATIONS + 100)]
     for name in names:
-        cancels.tell(name, Mark(50), False)
+        cancels.announce(name, Revision(50), False)
     world.pass_time(3.0)
-    assert len(told[-1][1].jobs) == len(cancels._untold) == MAX_CANCELS and names[-1] in told[-1][1].jobs
+    assert (
+        len(told[-1][1].revisions) == len(cancels._unacknowledged) == MAX_CANCELLATIONS
+        and names[-1] in told[-1][1].revisions
+    )
 
 
 HEARD = [
@@ -538,17 +541,17 @@
 @pytest.mark.parametrize(("term", "token", "answer"), [h[1:] for h in HEARD], ids=[h[0] for h in HEARD])
 def test_a_word_is_for_whoever_leads_and_kept_for_whoever_leads_next(world, term, token, answer):
     cancels, _ = node(world, term)
-    word = CancelsTold(3, Token(token), {NAME: 5})
-    assert cancels.heard(word) is answer is cancels.heard(word)
-    assert cancels.is_told(NAME) and not cancels.is_told("wk-000002")
+    word = CancellationNotice(3, FencingToken(token), {NAME: 5})
+    assert cancels.on_notice(word) is answer is cancels.on_notice(word)
+    assert cancels.is_announced(NAME) and not cancels.is_announced("wk-000002")
     assert term is None or term.taken == [{NAME: 5}] * 2
-    for first in range(0, 2 * MAX_REMEMBERED, 1000):
-        cancels.heard(CancelsTold(0, Token(token), {f"wk-{first + n:07d}": 5 for n in range(1000)}))
-    assert not cancels.is_told(NAME) and len(cancels._heard) == MAX_REMEMBERED
+    for first in range(0, 2 * MAX_REMEMBERED_JOBS, 1000):
+        cancels.on_notice(CancellationNotice(0, FencingToken(token), {f"wk-{first + n:07d}": 5 for n in range(1000)}))
+    assert not cancels.is_announced(NAME) and len(cancels._announced) == MAX_REMEMBERED_JOBS
 
 
 def told(**jobs):
-    return CancelsTold(0, Token(7), {f"wk-{name[1:]}": mark for name, mark in jobs.items()})
+    return CancellationNotice(0, FencingToken(7), {f"wk-{name[1:]}": mark for name, mark in jobs.items()})
 
 
 def test_a_leader_takes_in_a_cancel_by_word_as_by_its_watch(world):
@@ -561,22 +564,24 @@
     world.pass_time(2.0)
     item = world.state.keys[f"j/{NAME}"]
     mark = item["mark"] + 50
-    assert term.take_cancels(told(j000001=mark)) and term.take_cancels(told(j000001=mark, j000009=3))
+    assert term.apply_announced_cancellations(told(j000001=mark)) and term.apply_announced_cancellations(
+        told(j000001=mark, j000009=3)
+    )
     world.pass_time(0.5)
-    assert world.running() == [] and term.book.jobs[NAME].cancelled is not None
+    assert world.running() == [] and term.job_table.jobs[NAME].cancelled_at is not None
     # Lost with the state service's last minutes, or not stored at all: it is stopped, and no end of it is told.
     world.state.outage = False
     world.pass_time(5.0)
-    assert f"e/{NAME}" not in world.state.keys and world.running() == [] and NAME in term.book.jobs
+    assert f"e/{NAME}" not in world.state.keys and world.running() == [] and NAME in term.job_table.jobs
     write = {"write": f"j/{NAME}", "data": item["data"] | {"c": 1.0}}
     assert world.state.transact({"if": [], "writes": [write]})[0] == 200
     world.pass_time(5.0)
-    assert world.state.value(f"e/{NAME}")["s"] == "cancelled" and NAME not in term.book.jobs
-    assert term.take_cancels(told(j000001=mark)), "a late copy, after the end"
+    assert world.state.value(f"e/{NAME}")["s"] == "cancelled" and NAME not in term.job_table.jobs
+    assert term.apply_announced_cancellations(told(j000001=mark)), "a late copy, after the end"
     world.pass_time(5.0)
-    assert NAME not in term.book.jobs
+    assert NAME not in term.job_table.jobs
     term.stop()
-    assert not term.take_cancels(told(j000001=mark))
+    assert not term.apply_announced_cancellations(told(j000001=mark))
 
 
 @pytest.mark.parametrize("answered", [True, False])
@@ -588,22 +593,22 @@
     world.submit(grazeS=900.0)
     world.pass_time(8.0)
     lost = []
-    term._lost = lambda why, old=False: lost.append(why)
-    follower = term._follower = Follower(world.clock, world.store, 1 << 20)
-    follower.lead(Picture(), True)
-    seen, held, fed = term._job_seen, [], []
-    term._job_seen = lambda *event: held.append(event)
-    follower.seen = lambda *events: fed.append(events)
+    term._report_data_loss = lambda why, old=False: lost.append(why)
+    follower = term._follower = ReplicaFollower(world.clock, world.store, 1 << 20)
+    follower.begin_leading(StoreReplica(), True)
+    seen, held, fed = term._apply_job_record, [], []
+    term._apply_job_record = lambda *event: held.append(event)
+    follower.apply_events = lambda *events: fed.append(events)
     item = world.state.keys[f"j/{NAME}"]
     write = {"write": f"j/{NAME}", "data": item["data"] | {"c": 1.0}}
     mark = world.state.transact({"if": [], "writes": [write]})[1]["ledger"]
     if not answered:
         world.net.faults.append(("state:1/multi", "lose"))
-    assert term.take_cancels(told(j000001=mark))
+    assert term.apply_announced_cancellations(told(j000001=mark))
     # As read after a conflict, or a lost answer.
     seen(f"j/{NAME}", msgspec.Raw(json.dumps(write["data"]).encode()), mark)
     world.pass_time(4.0)
-    assert NAME not in term.book.jobs and world.state.value(f"e/{NAME}") is not None
+    assert NAME not in term.job_table.jobs and world.state.value(f"e/{NAME}") is not None
     worker = next(iter(world.workers.values()))
     worker.tasks[f"{NAME}/0", 1] = {"head": f"{NAME}/0", "round": 1, "standing": "ended", "cause": "stopped"}
     assert any(event[2] == mark for event in held)
@@ -611,10 +616,10 @@
     world.state.outage = True
     for event in held:
         seen(*event)
-    del follower.seen
+    del follower.apply_events
     for events in fed:
-        follower.seen(*events)
-    assert NAME not in term.book.jobs and follower.get(f"j/{NAME}") is None
+        follower.apply_events(*events)
+    assert NAME not in term.job_table.jobs and follower.get(f"j/{NAME}") is None
     world.pass_time(2.0)
     assert lost == []
 
@@ -629,7 +634,7 @@
     ahead = item["data"] | {"c": world.clock.seconds() + 3600.0}
     assert world.state.transact({"if": [], "writes": [{"write": f"j/{NAME}", "data": ahead}]})[0] == 200
     world.pass_time(1.0)
-    assert term.book.jobs[NAME].cancelled <= world.clock.seconds()
+    assert term.job_table.jobs[NAME].cancelled_at <= world.clock.seconds()
     world.pass_time(0.5 * world.settings.facts.workers.cancel_s + 3.0)
     assert world.running() == [] and world.cloud.deleted
 
@@ -640,7 +645,7 @@
 
 
 def link_of(world, take):
-    return PeerLink(world.clock, [], lambda: None, lambda name: None, lambda beat: None, None, take_cancels=take)
+    return PeerLink(world.clock, [], lambda: None, lambda name: None, lambda beat: None, None, apply_cancellations=take)
 
 
 MESSAGES = [
@@ -648,30 +653,33 @@
     ("of an unknown kind", b'{"kind":"cancels!","number":1}'),
     ("of another version", b'{"kind":"cancels?","number":1,"jobs":["wk-000001"]}'),
     ("a version that is none", b'{"kind":"cancels?","number":1,"token":7,"jobs":{"wk-000001":"x"}}'),
-    ("too many", encode(CancelsTold(1, Token(7), {f"wk-{n:06d}": 1 for n in range(MAX_CANCELS + 1)}))),
+    (
+        "too many",
+        encode(CancellationNotice(1, FencingToken(7), {f"wk-{n:06d}": 1 for n in range(MAX_CANCELLATIONS + 1)})),
+    ),
 ]
 
 
 @pytest.mark.parametrize("body", [one[1] for one in MESSAGES], ids=[one[0] for one in MESSAGES])
 def test_what_is_no_message_is_dropped_with_one_line(world, caplog, body):
     heard = []
-    line = _Line(link_of(world, heard.append))
+    line = PeerProtocol(link_of(world, heard.append))
     line.makeConnection(Wire())
-    good = encode(CancelsTold(0, Token(7), {NAME: 1}))
+    good = encode(CancellationNotice(0, FencingToken(7), {NAME: 1}))
     with caplog.at_level("INFO"):
         line.dataReceived(b"%d:%s," % (len(body), body))
         line.dataReceived(b"%d:%s," % (len(good), good))
     # An ended world of an earlier test may still say something when its garbage is collected.
-    ours = [record for record in caplog.records if record.filename == "peerlink.py"]
-    assert len(ours) == 1 and [one.jobs for one in heard] == [{NAME: 1}]
-    assert decode(good).jobs == {NAME: 1}
+    ours = [record for record in caplog.records if record.filename == "peer_link.py"]
+    assert len(ours) == 1 and [one.revisions for one in heard] == [{NAME: 1}]
+    assert decode(good).revisions == {NAME: 1}
 
 
 def test_a_line_that_sends_too_much_at_once_is_closed_with_one_line(world, caplog):
-    line, transport = _Line(link_of(world, lambda told: None)), Wire()
+    line, transport = PeerProtocol(link_of(world, lambda told: None)), Wire()
     line.makeConnection(transport)
     with caplog.at_level("INFO"):
         line.dataReceived(b"%d:" % (line.MAX_LENGTH + 1))
         assert transport.disconnecting
         line.connectionLost()
-    assert len([record for record in caplog.records if record.filename == "peerlink.py"]) == 1
+    assert len([record for record in caplog.records if record.filename == "peer_link.py"]) == 1
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -69,9 +69,9 @@
     nodes = [node(world, f"n{i}") for i in range(3)]
     world.pass_time(1.0)
     old, record = next((e, r) for e, r in nodes if e.token is not None)
-    assert old.sure()
-    old.hand_over("workers reach others")
-    assert not old.sure()
+    assert old.has_valid_lease()
+    old.begin_transfer("workers reach others")
+    assert not old.has_valid_lease()
     world.pass_time(2.0)
     assert record.stopped > 0
     assert [e.token is not None for e, _ in nodes].count(True) == 1 and old.token is None
@@ -82,10 +82,10 @@
     world.pass_time(1.0)
     world.state.outage = True
     world.pass_time(3.0)
-    assert election.token is not None and not election.sure()
+    assert election.token is not None and not election.has_valid_lease()
     world.state.outage = False
     world.pass_time(1.0)
-    assert election.sure()
+    assert election.has_valid_lease()
 
 
 def test_renewals_go_on_time_whatever_becomes_of_their_answers(world):
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -11,7 +11,7 @@
 import threading
 import time
 
-from lab.standins import CloudService, StateService, Worker, serve
+from simulation.standins import CloudService, StateService, Worker, serve
 from tests.conftest import job
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -7,38 +7,38 @@
 import msgspec
 import pytest
 
-from meadowcross.common.settings import Operator
+from meadowcross.common.settings import OperatorSettings
 from meadowcross.common.types import JobId, MachineId, MachineKind
 from meadowcross.jobs.messages import JobSpec
+from meadowcross.placement.descheduler import ServiceReplica, select_replicas_to_move
 from meadowcross.placement.engine import (
-    Hold,
-    Offer,
-    Room,
-    Want,
+    Candidate,
+    PendingJob,
+    QuotaHeadroom,
+    Reservation,
     network_term,
     place,
     resource_term,
     score,
 )
-from meadowcross.placement.moves import Replica, moves
-from meadowcross.placement.preemption import Victim, preempt, preempt_constrained
+from meadowcross.placement.preemption import Victim, select_victims, select_victims_constrained
 from tests.conftest import job
 
-WEIGHTS = Operator()
+WEIGHTS = OperatorSettings()
 
 
 def offer(name, cpus=4.0, memory=16.0, zone="east", spot=True, kind="small", images=(), gpus=0.0):
-    return Offer(MachineId(name), MachineKind(kind, zone, spot), cpus, gpus, memory, set(images))
+    return Candidate(MachineId(name), MachineKind(kind, zone, spot), cpus, gpus, memory, set(images))
 
 
 def want(count=None, rank=1, slack=0.0, siblings=None, **changes):
     spec = msgspec.convert(job(**changes), JobSpec)
     count = spec.tasks if count is None else count
-    return Want(JobId(spec.id), spec, count, rank, slack, siblings=siblings or {})
+    return PendingJob(JobId(spec.id), spec, count, rank, slack, siblings=siblings or {})
 
 
 def rooms(**limits):
-    return {team: Room(limits.get(team, 1e15), 1e15) for team in ("a", "b")}
+    return {team: QuotaHeadroom(limits.get(team, 1e15), 1e15) for team in ("a", "b")}
 
 
 def test_score_is_the_weighted_sum_of_designs_terms():
@@ -81,7 +81,7 @@
         want(id="wk-000003", heads=1, rank=1, slack=10.0),
     ]
     choices = place([offer("m", cpus=2.0)], wants, rooms(), WEIGHTS)
-    assert [c.job for c in choices] == ["wk-000003", "wk-000002"]
+    assert [c.job_id for c in choices] == ["wk-000003", "wk-000002"]
 
 
 def test_a_team_never_gets_more_than_its_limit():
@@ -131,10 +131,10 @@
     """A live-matching replica was late by the fetch that an idle-time array had begun on the same machine."""
     offers = [offer(name, images=images[n]) for n, name in enumerate("abc")]
     for one, under_way in zip(offers, fetching, strict=True):
-        one.fetching = set(under_way)
+        one.fetching_images = set(under_way)
     # Alike in all that the score sees, so that the names decide among equals.
     asked = want(heads=2, breed=kind, cpus=1.0, memoryGb=4.0)
-    asked.fetch_s = fetch_s
+    asked.image_fetch_s = fetch_s
     (choice,) = place(offers, [asked], rooms(), WEIGHTS)
     assert choice.machines == [MachineId(name) for name in chosen]
 
@@ -158,9 +158,9 @@
 @pytest.mark.parametrize(("usage", "age", "free", "moved"), [m[1:] for m in MOVES], ids=[m[0] for m in MOVES])
 def test_the_move_pass_moves_at_most_one_replica_of_a_service(usage, age, free, moved):
     service = want(breed="daemon", heads=2, memoryGb=1.0)
-    replicas = [Replica(i, service, MachineId("full"), age) for i in range(2)]
+    replicas = [ServiceReplica(i, service, MachineId("full"), age) for i in range(2)]
     offers = [offer("full", cpus=0.4, memory=1.0), offer("other", cpus=free, memory=free)]
-    assert len(moves(offers, replicas, {MachineId("full"): usage}, WEIGHTS)) == moved
+    assert len(select_replicas_to_move(offers, replicas, {MachineId("full"): usage}, WEIGHTS)) == moved
     assert offers[0].free_cpus == pytest.approx(0.4)
 
 
@@ -176,10 +176,10 @@
         victim("cheap", "warm", 2, 2.0),
         victim("cold", "cold", 3, 0.0),
     ]
-    assert [v.key for v in preempt(want(rank=1), 1, offers, victims)] == ["cheap"]
-    assert [v.key for v in preempt(want(rank=1), 3, offers, victims)] == ["cheap", "dear", "cold"]
-    assert preempt(want(rank=3), 1, offers, victims) == []
-    assert [v.key for v in preempt(want(rank=0, cpus=2.0), 1, offers, victims)] == ["same", "cheap"]
+    assert [v.task_key for v in select_victims(want(rank=1), 1, offers, victims)] == ["cheap"]
+    assert [v.task_key for v in select_victims(want(rank=1), 3, offers, victims)] == ["cheap", "dear", "cold"]
+    assert select_victims(want(rank=3), 1, offers, victims) == []
+    assert [v.task_key for v in select_victims(want(rank=0, cpus=2.0), 1, offers, victims)] == ["same", "cheap"]
 
 
 YIELDS = [
@@ -197,9 +197,9 @@
 )
 def test_what_gives_way(rank, team, borrowed, promised, stops):
     wanting = want(rank=2, steward="a")
-    wanting.guaranteed = promised
+    wanting.guaranteed_tasks = promised
     victims = [Victim(i, MachineId("m"), rank, 1.0, 0.0, 2.0, 1.0, team, borrowed) for i in range(2)]
-    chosen = preempt(wanting, 2, [offer("m", cpus=0.0)], victims)
+    chosen = select_victims(wanting, 2, [offer("m", cpus=0.0)], victims)
     # What is taken by a guarantee is no more than the guarantee.
     assert len(chosen) == (0 if not stops else promised if borrowed else 2)
 
@@ -208,14 +208,14 @@
     offers = [offer("x", cpus=1.0), offer("y", cpus=0.0, zone="west")]
     victims = [Victim(i, MachineId(name), 3, 1.0, 0.0, 2.0, float(i)) for i, name in enumerate("xyy")]
     gang = want(rank=1, heads=4, breed="group")
-    chosen, machines = preempt_constrained(gang, 4, offers, victims, WEIGHTS)
-    assert sorted(v.key for v in chosen) == [0, 1, 2] and machines == {"x", "y"}
-    assert preempt_constrained(want(rank=1, heads=5, breed="group"), 5, offers, victims, WEIGHTS) == ([], set())
+    chosen, machines = select_victims_constrained(gang, 4, offers, victims, WEIGHTS)
+    assert sorted(v.task_key for v in chosen) == [0, 1, 2] and machines == {"x", "y"}
+    assert select_victims_constrained(want(rank=1, heads=5, breed="group"), 5, offers, victims, WEIGHTS) == ([], set())
     assert [o.free_cpus for o in offers] == [1.0, 0.0]
-    holds = {MachineId("x"): Hold(gang.job, 1)}
+    holds = {MachineId("x"): Reservation(gang.job_id, 1)}
     low, high = want(id="wk-000007", rank=2, heads=1), want(id="wk-000008", rank=0, heads=1)
     assert place(offers, [low], rooms(), WEIGHTS, holds) == []
-    assert [c.job for c in place(offers, [low, high], rooms(), WEIGHTS, holds)] == ["wk-000008"]
+    assert [c.job_id for c in place(offers, [low, high], rooms(), WEIGHTS, holds)] == ["wk-000008"]
 
 
 def test_nothing_gives_way_in_a_zone_where_a_spread_job_may_not_go():
@@ -225,5 +225,5 @@
     west = [Victim("w", MachineId("y"), 3, 1.0, 0.0, 2.0, 9.0)]
     siblings = {MachineId("z"): ("east", 2)}
     spread = want(rank=1, heads=3, count=1, breed="daemon", scatter=True, siblings=siblings)
-    assert preempt_constrained(spread, 1, offers, east, WEIGHTS) == ([], set())
-    assert [v.key for v in preempt_constrained(spread, 1, offers, east + west, WEIGHTS)[0]] == ["w"]
+    assert select_victims_constrained(spread, 1, offers, east, WEIGHTS) == ([], set())
+    assert [v.task_key for v in select_victims_constrained(spread, 1, offers, east + west, WEIGHTS)[0]] == ["w"]
--- a/tests/test_estimates_state.py
+++ b/tests/test_estimates_state.py
@@ -7,12 +7,12 @@
 import msgspec
 import pytest
 
-from meadowcross.common.settings import Operator
-from meadowcross.common.types import NodeName, Token
+from meadowcross.common.settings import OperatorSettings
+from meadowcross.common.types import FencingToken, NodeName
 from meadowcross.estimates import messages as m
 from meadowcross.jobs import messages as jm
-from meadowcross.leadership.messages import Beat, decode
-from meadowcross.leadership.peerlink import PeerLink
+from meadowcross.leadership.messages import PeerHeartbeat, decode
+from meadowcross.leadership.peer_link import PeerLink
 from tests.conftest import job
 
 CLASS = "est/c/train"
@@ -46,7 +46,7 @@
 def next_term(world):
     """The next leader, on the same stored state; the earlier term is over."""
     before = world.term
-    world.election.stand_down("for the test")
+    world.election.step_down("for the test")
     world.pass_time(4.0)
     assert world.term is not before and world.term.loaded
     return world.term
@@ -270,24 +270,26 @@
     world.submit(heads=6, grazeS=40.0)
     world.pass_time(6.0)
     name = jm.JobId("wk-000001")
-    low, middle, high = term.ends(name)
+    low, middle, high = term.forecast(name)
     assert 0 < low < middle < high < 400 and middle > 20
     world.pass_time(5.0)
-    later = term.ends(name)
+    later = term.forecast(name)
     assert later.middle < middle
     # A node that does not lead asks the leader over the peer link, and adds it to the answer.
-    assert jm.encode(jm.JobAnswer(name, jm.Standing.RUNNING, 0, 6, (1.0, 2.0, 3.0))).endswith(b'"endsS":[1.0,2.0,3.0]}')
-    assert b"endsS" not in jm.encode(jm.JobAnswer(name, jm.Standing.DONE, 6, 0))
+    assert jm.encode(jm.JobResponse(name, jm.JobState.RUNNING, 0, 6, (1.0, 2.0, 3.0))).endswith(
+        b'"endsS":[1.0,2.0,3.0]}'
+    )
+    assert b"endsS" not in jm.encode(jm.JobResponse(name, jm.JobState.DONE, 6, 0))
     finish_all(world)
     world.pass_time(4.0)
-    assert term.ends(name) is None
+    assert term.forecast(name) is None
     entries = {e.name for e in term._learned.entries()}
     assert entries & {"f/waiting/normal", "f/placed/normal"}, "the times that were told are not judged"
 
 
 @pytest.mark.parametrize("setting", [0.0, 1.0])
 def test_switched_off_nothing_is_learned_and_only_told_nothing_decides(world, setting):
-    world.operator = Operator(learned_estimates=setting)
+    world.operator = OperatorSettings(learned_estimates=setting)
     term = world.lead()
     run_jobs(world, 3)
     world.pass_time(40.0)
@@ -297,22 +299,22 @@
     assert bool(stored_writes(world)) == (setting == 1.0)
     world.submit(id="wk-000009")
     world.pass_time(5.0)
-    assert (term.ends(jm.JobId("wk-000009")) is not None) == (setting == 1.0)
+    assert (term.forecast(jm.JobId("wk-000009")) is not None) == (setting == 1.0)
 
 
 def test_a_peer_of_an_earlier_version_says_nothing_of_ends(world):
     answers = []
-    beat = Beat(NodeName("n0"), True, Token(7), 5)
+    beat = PeerHeartbeat(NodeName("n0"), True, FencingToken(7), 5)
     link = PeerLink(world.clock, [], lambda: beat, lambda job: None, lambda beat: None, None)
 
     class Line:
         def send(self, message):
             if "jobs" in message.__struct_fields__:
                 old = json.dumps({"kind": "progress", "number": message.number, "counts": {"wk-000001": [3, 2]}})
-                world.clock.callLater(0.01, link.received, self, decode(old.encode()))
+                world.clock.callLater(0.01, link.on_message, self, decode(old.encode()))
 
-    link._lines[NodeName("n1")] = Line()
-    link.ask_progress(NodeName("n1"), jm.JobId("wk-000001")).addCallback(answers.append)
+    link._connections[NodeName("n1")] = Line()
+    link.request_progress(NodeName("n1"), jm.JobId("wk-000001")).addCallback(answers.append)
     world.pass_time(1.0)
     assert answers == [(3, 2, None)]
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,16 +11,16 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from lab.standins import FakeNet, StateService
-from meadowcross.common.http import NotSent, Reply, Unanswered
+from meadowcross.common.http import ClientResponse, ConnectionFailedError, NoResponseError
 from meadowcross.common.settings import SettingsError
 from meadowcross.jobs.messages import Priority, decode_spec
-from meadowcross.tickets import records as r
-from meadowcross.tickets.controllers import Busy, Controllers
-from meadowcross.tickets.driver import ready, settled
-from meadowcross.tickets.gateway import Gateway, GatewaySettings, load_gateway
-from meadowcross.tickets.members import owner_of
-from meadowcross.tickets.site import Site
+from meadowcross.openjd import records as r
+from meadowcross.openjd.controllers import Busy, Controllers
+from meadowcross.openjd.driver import ready, settled
+from meadowcross.openjd.gateway import Gateway, GatewaySettings, load_gateway
+from meadowcross.openjd.members import owner_of
+from meadowcross.openjd.site import Site
+from simulation.standins import FakeNet, StateService
 from tests.conftest import World
 from tests.test_tickets import HEAD, ROOT, RUN, SITE
 
@@ -121,7 +121,7 @@
             self.clock.advance(0.05)
 
     def ask(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any, int | None]:
-        handler, groups = self.gateways[name].router.find(method, path)
+        handler, groups = self.gateways[name].router.resolve(method, path)
         box: list[Any] = []
         made = handler(json.dumps(body).encode() if body is not None else b"", *groups)
         Deferred.fromCoroutine(made).addBoth(box.append)
@@ -342,7 +342,7 @@
         SITE, submitters=[*SITE.submitters, msgspec.structs.replace(SITE.submitters[0], name="other")]
     )
     answers: list[Any] = []
-    handler, groups = farm.gateways["g0"].router.find("POST", "/v1/submitters/agency/tickets")
+    handler, groups = farm.gateways["g0"].router.resolve("POST", "/v1/submitters/agency/tickets")
     for number in range(1000):
         body = json.dumps({"key": f"k{number}", "document": ONE}).encode()
         Deferred.fromCoroutine(handler(body, *groups)).addCallback(answers.append)
@@ -358,7 +358,7 @@
     farm = Farm()
     ticket = farm.submit(ONE)[1]["id"]
     farm.pass_time(5.0)
-    handler, groups = farm.gateways["g0"].router.find("GET", f"/v1/submitters/agency/tickets/{ticket}")
+    handler, groups = farm.gateways["g0"].router.resolve("GET", f"/v1/submitters/agency/tickets/{ticket}")
     before, answers = len(farm.net.calls), []
     for _ in range(500):
         Deferred.fromCoroutine(handler(b"", *groups)).addCallback(answers.append)
@@ -366,7 +366,7 @@
     asked = [c for c in farm.net.calls[before:] if c[1].endswith(ticket)]
     assert len(answers) == 500 and {a.status for a in answers} == {200} and len(asked) == 1
     for number in range(500):
-        handler, groups = farm.gateways["g0"].router.find("GET", f"/v1/submitters/agency/tickets/tk-{number:024x}")
+        handler, groups = farm.gateways["g0"].router.resolve("GET", f"/v1/submitters/agency/tickets/tk-{number:024x}")
         Deferred.fromCoroutine(handler(b"", *groups)).addCallback(answers.append)
     farm.pass_time(0.2)
     assert sum(a.status == 503 and a.retry_after == 1 for a in answers) >= 470
@@ -442,8 +442,8 @@
         self.asked.append(address)
         told = self.told[address]
         if isinstance(told, int):
-            return Reply(told, b"{}")
-        if told is Unanswered:
+            return ClientResponse(told, b"{}")
+        if told is NoResponseError:
             wait: Deferred[None] = Deferred()
             self.clock.callLater(timeout, wait.callback, None)
             await wait
@@ -461,7 +461,7 @@
     return got
 
 
-@pytest.mark.parametrize("trouble", [503, 429, NotSent, Unanswered, 500])
+@pytest.mark.parametrize("trouble", [503, 429, ConnectionFailedError, NoResponseError, 500])
 def test_one_node_in_trouble_costs_a_tenth_more_requests_at_most(trouble):
     clock = Clock()
     net = Answers(clock, {"a": 200, "b": trouble, "c": 200})
@@ -479,12 +479,14 @@
 
 def test_with_no_node_left_the_caller_is_told_when_to_come_back():
     clock = Clock()
-    controllers = Controllers(clock, Answers(clock, {"a": NotSent, "b": NotSent}), ["a", "b"])
+    controllers = Controllers(
+        clock, Answers(clock, {"a": ConnectionFailedError, "b": ConnectionFailedError}), ["a", "b"]
+    )
     got = asked(clock, controllers, 5)
     assert all(isinstance(one.value, Busy) and one.value.after > 0 for one in got)
     assert controllers.requests <= 10
     assert not got[0].value.maybe_done
-    hung = Controllers(clock, Answers(clock, {"a": Unanswered}), ["a"])
+    hung = Controllers(clock, Answers(clock, {"a": NoResponseError}), ["a"])
     assert asked(clock, hung)[0].value.maybe_done
 
 
@@ -521,7 +523,7 @@
         parts = path.split("/")
         operation = "submit" if path == "/v1/jobs" else "cancel" if path.endswith("/withdraw") else "query"
         answer = await self.api.serve(operation, parts[3] if len(parts) > 3 else "", body or b"")
-        return Reply(answer.status, answer.body)
+        return ClientResponse(answer.status, answer.body)
 
 
 def order_of_starts(seed, by_ticket):
@@ -575,14 +577,14 @@
                 sundownS=None,
             )
     world.pass_time(2.0)
-    assert set(world.term.book.jobs) == set(names)
+    assert set(world.term.job_table.jobs) == set(names)
     world.cloud.full = False
     for _ in range(300):
         world.pass_time(0.5)
         for worker in world.workers.values():
             for key in list(worker.tasks):
                 worker.end(key)
-        if not world.term.book.jobs:
+        if not world.term.job_table.jobs:
             break
     assert len(world.workers) == 1
     started = [task for worker in world.workers.values() for task, _ in worker.started]
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -5,10 +5,10 @@
 import msgspec
 import pytest
 
-from meadowcross.common.types import Mark, WallTime
-from meadowcross.jobs.book import Book, Phase
+from meadowcross.common.types import Revision, WallTime
+from meadowcross.jobs.job_table import JobTable, PlacementPhase
 from meadowcross.jobs.messages import JobRecord, JobSpec, decode_spec
-from meadowcross.workers.health import LONGEST_PAUSE_S, Health
+from meadowcross.workers.health import MAX_PAUSE_S, FailureTracker
 from tests.conftest import job
 
 # Each event: what happens, job, machine. "start" places a task, which runs a second later; "fail"
@@ -75,50 +75,50 @@
     ("events", "condemned", "suspect", "faulty"), [c[1:] for c in CASES], ids=[c[0] for c in CASES]
 )
 def test_verdicts(events, condemned, suspect, faulty):
-    book, health, now, blamed = Book(), Health(lambda machine: True), 100.0, set()
+    book, health, now, blamed = JobTable(), FailureTracker(lambda machine: True), 100.0, set()
     jobs = {}
     for name, number in (("a", 1), ("b", 2)):
         spec: JobSpec = decode_spec(msgspec.json.encode(job(id=f"wk-{number:06d}", heads=50)))
-        jobs[name] = book.add(JobRecord(spec, WallTime(0.0)), Mark(1))
+        jobs[name] = book.add(JobRecord(spec, WallTime(0.0)), Revision(1))
     for event in events.split(", "):
         what, name, machine = [*event.split(), "", ""][:3]
         now += 0.2
         if what == "start":
-            placement = book.place(jobs[name], jobs[name].take_waiting(), machine, now)
-            placement.phase, placement.running_at = Phase.RUNNING, now + 0.1
+            placement = book.place(jobs[name], jobs[name].pop_waiting_task(), machine, now)
+            placement.phase, placement.running_at = PlacementPhase.RUNNING, now + 0.1
         elif what == "wait":
             now += 10.0
-            blamed |= set(health.verdicts(now))
+            blamed |= set(health.find_faulty_machines(now))
         elif what == "end":
             health.forget_job(jobs[name])
         else:
-            placement = next(p for p in jobs[name].placed.values() if p.machine == machine)
+            placement = next(p for p in jobs[name].placements.values() if p.machine == machine)
             if what == "fail":
-                book.gone(placement)
-                blamed |= set(health.failed(jobs[name], placement, now))
+                book.release(placement)
+                blamed |= set(health.record_failure(jobs[name], placement, now))
             else:
-                book.task_done(placement)
-                blamed |= set(health.succeeded(jobs[name], machine))
+                book.complete_task(placement)
+                blamed |= set(health.record_success(jobs[name], machine))
         for machine_to_go in blamed:
             health.forget_machine(machine_to_go)
     assert "".join(sorted(blamed)) == condemned
-    assert "".join(m for m in "12345" if health.suspect(m)) == suspect
-    assert "".join(n for n in "ab" if jobs[n].probing) == faulty
+    assert "".join(m for m in "12345" if health.is_quarantined(m)) == suspect
+    assert "".join(n for n in "ab" if jobs[n].is_probing) == faulty
 
 
 def test_a_large_array_that_fails_everywhere_pauses_no_longer_than_the_longest():
     """More than a thousand failures once made a pause that no float holds."""
-    book, health = Book(), Health(lambda machine: True)
+    book, health = JobTable(), FailureTracker(lambda machine: True)
     spec: JobSpec = decode_spec(msgspec.json.encode(job(heads=3000)))
-    faulty = book.add(JobRecord(spec, WallTime(0.0)), Mark(1))
-    placements = [book.place(faulty, faulty.take_waiting(), f"i-{n % 300}", 0.0) for n in range(3000)]
+    faulty = book.add(JobRecord(spec, WallTime(0.0)), Revision(1))
+    placements = [book.place(faulty, faulty.pop_waiting_task(), f"i-{n % 300}", 0.0) for n in range(3000)]
     for n, placement in enumerate(placements):
-        book.gone(placement)
+        book.release(placement)
         now = n * 0.001
-        assert health.failed(faulty, placement, now) == []
-        assert faulty.paused_until <= now + LONGEST_PAUSE_S
-    assert faulty.probing and not any(health.suspect(f"i-{n}") for n in range(300))
+        assert health.record_failure(faulty, placement, now) == []
+        assert faulty.paused_until <= now + MAX_PAUSE_S
+    assert faulty.is_probing and not any(health.is_quarantined(f"i-{n}") for n in range(300))
     # What fails much later pauses longer, but never for more than the longest pause.
     for n in range(2000):
-        health.failed(faulty, placements[0], 100.0 * n)
-        assert faulty.paused_until <= 100.0 * n + LONGEST_PAUSE_S
+        health.record_failure(faulty, placements[0], 100.0 * n)
+        assert faulty.paused_until <= 100.0 * n + MAX_PAUSE_S
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -9,14 +9,14 @@
 import msgspec
 import pytest
 
-from lab.judge import WAITS_S, Judge, Spec
 from meadowcross.common.clock import pause
 from meadowcross.jobs import messages as jm
-from meadowcross.jobs.api import JobApi, answer_of
-from meadowcross.jobs.book import Phase
-from meadowcross.leadership.term import Term
-from meadowcross.leadership.view import View
-from meadowcross.workers.roster import Change, Roster
+from meadowcross.jobs.api import JobApi, job_response
+from meadowcross.jobs.job_table import PlacementPhase
+from meadowcross.leadership.scheduling_view import SchedulingView
+from meadowcross.leadership.term import LeaderTerm
+from meadowcross.workers.registry import TaskChange, WorkerRegistry
+from simulation.judge import WAITS_S, Judge, Spec
 from tests.test_addition import deaf_is_gone, largest_starved
 from tests.test_lab import no_limits, placements_forgotten, starts_before_storing
 from tests.test_meetings import (
@@ -84,7 +84,12 @@
 
     def pinned():
         term = meeting.lab.nodes[meeting.lab.leader()].term
-        placed = [p for m in term.roster.machines.values() if not m.confirmed or m.deaf_since for p in m.placements]
+        placed = [
+            p
+            for m in term.worker_registry.machines.values()
+            if not m.has_confirmed_token or m.unresponsive_since
+            for p in m.placements
+        ]
         meeting.away.append(len(placed))
 
     at(meeting, 30.5, look)
@@ -300,7 +305,7 @@
 
     def look():
         term = meeting.lab.nodes[meeting.lab.leader()].term
-        mute = [term.roster.machines[name] for name, one in meeting.lab.machines.items() if one.mute]
+        mute = [term.worker_registry.machines[name] for name, one in meeting.lab.machines.items() if one.mute]
         meeting.left.append((len(mute), sum(len(m.placements) for m in mute)))
 
     at(meeting, 31.0, look)
@@ -370,51 +375,55 @@
 
 def any_token_proves(monkeypatch):
     """A report proves something to a leader whose token its machine had not seen."""
-    apply = Roster.apply
+    apply = WorkerRegistry.apply_heartbeat
 
     def applied(self, machine, report, now):
         return apply(self, machine, msgspec.structs.replace(report, token=max(report.token, self.token)), now)
 
-    monkeypatch.setattr(Roster, "apply", applied)
+    monkeypatch.setattr(WorkerRegistry, "apply_heartbeat", applied)
 
 
 def lost_is_not_seen(monkeypatch):
     """A task that its machine no longer has counts as there."""
-    facts = Roster._facts
+    facts = WorkerRegistry._compare_tasks
 
     def found(self, machine, report, now):
-        return [one for one in facts(self, machine, report, now) if one.change is not Change.GONE or one.why != "lost"]
+        return [
+            one
+            for one in facts(self, machine, report, now)
+            if one.change is not TaskChange.GONE or one.exit_reason != "lost"
+        ]
 
-    monkeypatch.setattr(Roster, "_facts", found)
+    monkeypatch.setattr(WorkerRegistry, "_compare_tasks", found)
 
 
 def answers_are_enough(monkeypatch):
     """A machine that answers is offered, whether or not its reports arrive; nobody asks those that are given up."""
-    offerable = View._offerable
+    offerable = SchedulingView._is_schedulable
 
     def offered(self, machine, since):
-        reported, machine.reported_at = machine.reported_at, self._now
+        reported, machine.last_heartbeat_at = machine.last_heartbeat_at, self._now
         try:
             return offerable(self, machine, since)
         finally:
-            machine.reported_at = reported
+            machine.last_heartbeat_at = reported
 
-    monkeypatch.setattr(View, "_offerable", offered)
+    monkeypatch.setattr(SchedulingView, "_is_schedulable", offered)
 
 
 def zones_of_the_reached(monkeypatch):
     """Only what runs on machines that are heard binds a job to its zone."""
-    want = View._want
+    want = SchedulingView._pending_job
 
     def wanted(self, job, *rest):
         found = want(self, job, *rest)
         for name in list(found.siblings):
-            machine = self._roster.machines.get(name)
-            if machine is None or self.silent(machine):
+            machine = self._worker_registry.machines.get(name)
+            if machine is None or self.is_silent(machine):
                 del found.siblings[name]
         return found
 
-    monkeypatch.setattr(View, "_want", wanted)
+    monkeypatch.setattr(SchedulingView, "_pending_job", wanted)
 
 
 def cancelled_though_done(monkeypatch):
@@ -422,35 +431,35 @@
 
     async def cancelled(self, job):
         answer = await cancel(self, job)
-        return answer_of(job, jm.Standing.CANCELLED, 0, 0) if answer.status == 200 else answer
+        return job_response(job, jm.JobState.CANCELLED, 0, 0) if answer.status == 200 else answer
 
     monkeypatch.setattr(JobApi, "cancel", cancelled)
 
 
 def fetching_is_not_counted(monkeypatch):
     """Limits count what is known to run."""
-    rooms = View.rooms
+    rooms = SchedulingView.quota_headroom
 
     def counted(self):
         found = rooms(self)
-        for job in self._book.jobs.values():
-            idle = sum(p.phase is not Phase.RUNNING for p in job.placed.values())
+        for job in self._job_table.jobs.values():
+            idle = sum(p.phase is not PlacementPhase.RUNNING for p in job.placements.values())
             room = found[job.spec.team]
             found[job.spec.team] = type(room)(room.cpus + idle * job.spec.cpus, room.gpus)
         return found
 
-    monkeypatch.setattr(View, "rooms", counted)
+    monkeypatch.setattr(SchedulingView, "quota_headroom", counted)
 
 
 def a_new_leader_waits(monkeypatch):
     """Cancels that a picture holds are acted on late."""
-    load = Term._load
+    load = LeaderTerm._load_state
 
     async def loaded(self):
         await pause(self._clock, 30.0)
         return await load(self)
 
-    monkeypatch.setattr(Term, "_load", loaded)
+    monkeypatch.setattr(LeaderTerm, "_load_state", loaded)
 
 
 FAULTS = [
@@ -516,7 +525,7 @@
     async def refused(self, body):
         answer = await submit(self, body)
         again = answer.status == 200
-        return answer_of(json.loads(body)["id"], jm.Standing.DONE, 0, 0, 422) if again else answer
+        return job_response(json.loads(body)["id"], jm.JobState.DONE, 0, 0, 422) if again else answer
 
     monkeypatch.setattr(JobApi, "submit", refused)
     assert "forgotten" in odd_requests().play()
--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -13,21 +13,21 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 from twisted.internet.task import Clock
 
-from lab.standins import TYPES
-from meadowcross.common.settings import Operator, Settings
-from meadowcross.common.types import EPSILON, Attempt, Instant, MachineId, MachineKind, Mark, Token, WallTime
+from meadowcross.autoscaling.incoming_capacity import FORECAST_MAX_AGE_S, TaskCompletionForecast
+from meadowcross.autoscaling.messages import decode_machine_types, encode
+from meadowcross.common.settings import OperatorSettings, Settings
+from meadowcross.common.types import EPSILON, Attempt, FencingToken, Instant, MachineId, MachineKind, Revision, WallTime
 from meadowcross.estimates.runs import MeanRuns
-from meadowcross.fleet.arrivals import ENDS_KEPT_S, Ends
-from meadowcross.fleet.messages import decode_types, encode
-from meadowcross.jobs.book import Book, Phase
+from meadowcross.jobs.job_table import JobTable, PlacementPhase
 from meadowcross.jobs.messages import JobRecord, JobSpec
-from meadowcross.leadership.view import View
+from meadowcross.leadership.scheduling_view import SchedulingView
 from meadowcross.placement.engine import place
-from meadowcross.workers.health import Health
-from meadowcross.workers.roster import Machine, Roster
+from meadowcross.workers.health import FailureTracker
+from meadowcross.workers.registry import Machine, WorkerRegistry
+from simulation.standins import TYPES
 from tests.conftest import SETTINGS, job
 
-KINDS = {t.name: t for t in decode_types(encode({"builds": TYPES})).types}
+KINDS = {t.name: t for t in decode_machine_types(encode({"builds": TYPES})).types}
 EXAMPLES = int(os.environ.get("MEADOWCROSS_EXAMPLES", "0"))
 
 
@@ -39,19 +39,19 @@
     def begin(self) -> None:
         self.clock = Clock()
         self.clock.advance(100.0)
-        self.book = Book()
-        self.roster = Roster(Token(1))
+        self.book = JobTable()
+        self.roster = WorkerRegistry(FencingToken(1))
         runs = MeanRuns()
-        self.view = View(
+        self.view = SchedulingView(
             self.clock,
             msgspec.convert(SETTINGS, Settings).facts,
             lambda: list(KINDS.values()),
             self.book,
             self.roster,
-            Health(lambda name: name in self.roster.machines),
+            FailureTracker(lambda name: name in self.roster.machines),
             runs,
         )
-        self.ends = Ends(self.book, runs)
+        self.ends = TaskCompletionForecast(self.book, runs)
         self.number = 0
 
     @property
@@ -62,46 +62,46 @@
     def a_machine_comes(self, kind):
         self.number += 1
         machine = Machine(MachineId(f"i-{self.number:06d}"), MachineKind(kind, "east", True), KINDS.get(kind), self.now)
-        machine.confirmed = machine.stored = True
-        machine.heard_at = self.now
+        machine.has_confirmed_token = machine.is_stored = True
+        machine.last_contact_at = self.now
         self.roster.add(machine)
 
     @rule(which=st.integers(0, 50))
     def a_type_becomes_known(self, which):
-        unknown = [m for m in self.roster.machines.values() if m.type is None]
+        unknown = [m for m in self.roster.machines.values() if m.machine_type is None]
         if unknown:
             machine = unknown[which % len(unknown)]
             machine.kind = MachineKind("small", "east", True)
-            machine.type = KINDS["small"]
-            self.roster.typed(machine)
+            machine.machine_type = KINDS["small"]
+            self.roster.on_type_known(machine)
 
     @rule(heads=st.integers(1, 6), cpus=st.sampled_from([0.5, 1.0, 3.0, 4.0]), rank=st.sampled_from(["urgent", "idle"]))
     def a_job_comes(self, heads, cpus, rank):
         self.number += 1
         spec = msgspec.convert(job(id=f"wk-{self.number:06d}", heads=heads, cpus=cpus, rank=rank), JobSpec)
-        self.book.add(JobRecord(spec, WallTime(self.now)), Mark(self.number))
+        self.book.add(JobRecord(spec, WallTime(self.now)), Revision(self.number))
 
     @rule()
     def a_pass(self):
         """Through the pieces kept, and over everything: the same choices."""
-        wants, rooms = self.view.wants(), self.view.rooms()
-        chosen = place(self.view.offers(), wants, rooms, Operator())
-        assert chosen == place(self.view.all_offers(), wants, self.view.rooms(), Operator())
+        wants, rooms = self.view.pending_jobs(), self.view.quota_headroom()
+        chosen = place(self.view.candidates(), wants, rooms, OperatorSettings())
+        assert chosen == place(self.view.all_candidates(), wants, self.view.quota_headroom(), OperatorSettings())
         for choice in chosen:
-            one = self.book.jobs[choice.job]
+            one = self.book.jobs[choice.job_id]
             for name in choice.machines:
-                placement = self.book.place(one, one.take_waiting(), name, self.now)
-                placement.phase, placement.running_at = Phase.RUNNING, self.now
-                self.roster.attach(self.roster.machines[name], placement, one.spec)
+                placement = self.book.place(one, one.pop_waiting_task(), name, self.now)
+                placement.phase, placement.running_at = PlacementPhase.RUNNING, self.now
+                self.roster.assign(self.roster.machines[name], placement, one.spec)
 
     @rule(which=st.integers(0, 50), done=st.booleans())
     def a_task_ends(self, which, done):
-        placed = [p for j in self.book.jobs.values() for p in j.placed.values()]
+        placed = [p for j in self.book.jobs.values() for p in j.placements.values()]
         if placed:
             placement = placed[which % len(placed)]
             spec = self.book.jobs[placement.task.job].spec
-            self.roster.detach(placement, spec, self.now)
-            (self.book.task_done if done else self.book.gone)(placement)
+            self.roster.unassign(placement, spec, self.now)
+            (self.book.complete_task if done else self.book.release)(placement)
 
     @rule(which=st.integers(0, 50), what=st.sampled_from(["deleted", "silent", "draining", "condemned", "taken"]))
     def a_machine_leaves(self, which, what):
@@ -109,21 +109,21 @@
             return
         machine = list(self.roster.machines.values())[which % len(self.roster.machines)]
         if what == "deleted":
-            for placement in self.roster.deleted(machine.id):
-                self.book.gone(placement)
+            for placement in self.roster.remove(machine.id):
+                self.book.release(placement)
             self.ends.forget(machine.id)
         elif what == "silent":
-            machine.heard_at = Instant(0.0)
+            machine.last_contact_at = Instant(0.0)
         elif what == "draining":
-            machine.draining = not machine.draining
+            machine.is_draining = not machine.is_draining
         elif what == "condemned":
-            machine.condemned = "for the test"
+            machine.decommission_reason = "for the test"
         else:
-            machine.taken_at = Instant(self.now + 5.0)
+            machine.reclaim_at = Instant(self.now + 5.0)
 
     @rule(which=st.integers(0, 50))
     def a_job_is_over(self, which):
-        over = [j for j in self.book.jobs.values() if not j.placed]
+        over = [j for j in self.book.jobs.values() if not j.placements]
         if over:
             self.book.remove(over[which % len(over)].id)
 
@@ -132,34 +132,38 @@
         """As a new leader loads it: some tasks done, some placed, some lost."""
         self.number += 1
         spec = msgspec.convert(job(id=f"wk-{self.number:06d}", heads=6), JobSpec)
-        one = self.book.add(JobRecord(spec, WallTime(self.now)), Mark(self.number))
+        one = self.book.add(JobRecord(spec, WallTime(self.now)), Revision(self.number))
         entries = [-1] * first + [2] * (6 - first)
         for _ in one.load_chunk(0, entries):
             raise AssertionError("nothing was placed")
         if self.roster.machines and first < 6:
             machine = next(iter(self.roster.machines.values()))
-            placement = self.book.inherit(one, 5, Attempt(2), machine.id, self.now)
-            self.roster.attach(machine, placement, spec)
+            placement = self.book.adopt_placement(one, 5, Attempt(2), machine.id, self.now)
+            self.roster.assign(machine, placement, spec)
         self.book.rebuild_waiting(one)
 
     @rule(seconds=st.sampled_from([0.5, 3.0, 30.0]))
     def time_passes(self, seconds):
         self.clock.advance(seconds)
         for machine in self.roster.machines.values():
-            if machine.heard_at:
-                machine.heard_at = self.now
+            if machine.last_contact_at:
+                machine.last_contact_at = self.now
 
     @invariant()
     def the_pieces_agree_with_the_whole(self):
         if not hasattr(self, "book"):
             return
         assert set(self.book.waiting) == {name for name, one in self.book.jobs.items() if one.waiting_count}
-        placed = Counter(one.rank for one in self.book.jobs.values() for _ in one.placed)
-        assert self.book.placed_ranks == placed
-        free = {m.id for m in self.roster.machines.values() if m.type is not None and m.type.cpus - m.cpus > EPSILON}
-        assert set(self.roster.roomy) == free
-        offered = {o.machine: o for o in self.view.offers()}
-        assert offered == {o.machine: o for o in self.view.all_offers() if o.free_cpus > EPSILON}
+        placed = Counter(one.rank for one in self.book.jobs.values() for _ in one.placements)
+        assert self.book.placed_count_by_rank == placed
+        free = {
+            m.id
+            for m in self.roster.machines.values()
+            if m.machine_type is not None and m.machine_type.cpus - m.used_cpus > EPSILON
+        }
+        assert set(self.roster.machines_with_free_cpu) == free
+        offered = {o.machine: o for o in self.view.candidates()}
+        assert offered == {o.machine: o for o in self.view.all_candidates() if o.free_cpus > EPSILON}
 
     @invariant()
     def ends_are_those_of_the_tasks_that_run(self):
@@ -170,12 +174,12 @@
             running = [
                 self.book.jobs[p.task.job].spec
                 for p in machine.placements.values()
-                if p.phase is Phase.RUNNING and p.running_at is not None
+                if p.phase is PlacementPhase.RUNNING and p.running_at is not None
             ]
-            told = list(self.ends.of(machine, before, self.now))
+            told = list(self.ends.completions_before(machine, before, self.now))
             assert all(spec in running for spec in told)
-            if self.now - self.ends._known[machine.id][1] < ENDS_KEPT_S:
-                assert sum(s.cpus for s in told) <= machine.cpus + EPSILON
+            if self.now - self.ends._cache[machine.id][1] < FORECAST_MAX_AGE_S:
+                assert sum(s.cpus for s in told) <= machine.used_cpus + EPSILON
 
 
 Fleet.TestCase.settings = settings(
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -13,11 +13,11 @@
 import pytest
 from twisted.internet.task import Clock
 
-from lab.standins import FakeNet, StateService, serve
 from meadowcross.cli import main
-from meadowcross.tickets.guard import Tls
-from meadowcross.tickets.keys import SERVER, SUBMITTER, Authority, KeyTrouble, read_private
-from meadowcross.tickets.signing import Signatures, signature
+from meadowcross.openjd.guard import Tls
+from meadowcross.openjd.keys import SERVER, SUBMITTER, Authority, KeyTrouble, read_private
+from meadowcross.openjd.signing import Signatures, signature
+from simulation.standins import FakeNet, StateService, serve
 from tests.test_gateway import ONE, Nodes
 from tests.test_tickets import ROOT
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -9,19 +9,19 @@
 
 import pytest
 
-from lab.scenario import ScenarioError, load
-from lab.world import Lab
-from meadowcross.common.http import Answer
+from meadowcross.common.http import ServerResponse
 from meadowcross.jobs import messages as jm
-from meadowcross.jobs.api import JobApi, answer_of
-from meadowcross.jobs.book import Job
-from meadowcross.leadership.term import Term
-from meadowcross.leadership.view import View
+from meadowcross.jobs.api import JobApi, job_response
+from meadowcross.jobs.job_table import Job
+from meadowcross.leadership.scheduling_view import SchedulingView
+from meadowcross.leadership.term import LeaderTerm
 from meadowcross.placement import engine
-from meadowcross.store.commit import Committer
-from meadowcross.workers.roster import Roster
+from meadowcross.store.group_commit import GroupCommitter
+from meadowcross.workers.registry import WorkerRegistry
+from simulation.scenario import ScenarioError, load
+from simulation.world import Lab
 
-EXAMPLES = sorted(pathlib.Path(__file__).parent.parent.joinpath("examples", "lab").glob("*.toml"))
+EXAMPLES = sorted(pathlib.Path(__file__).parent.parent.joinpath("examples", "simulation").glob("*.toml"))
 
 
 def play(name: str, seed: int = 1) -> dict:
@@ -42,96 +42,98 @@
 
 def no_leader_condition(monkeypatch):
     """Not the leader's key, nor the versions that would stop a late transaction too."""
-    monkeypatch.setattr(Committer, "_gather", _without_conditions(Committer._gather))
+    monkeypatch.setattr(GroupCommitter, "_collect_batch", _without_conditions(GroupCommitter._collect_batch))
 
 
 def _without_conditions(gather):
     def gathered(self):
         taken, conditions, changes = gather(self)
-        return taken, [c for c in conditions if c.mark < 0], changes
+        return taken, [c for c in conditions if c.mod_revision < 0], changes
 
     return gathered
 
 
 def starts_before_storing(monkeypatch):
     """Placements are sent at once, whatever becomes of their transaction; and what would notice is left out too."""
-    monkeypatch.setattr(Term, "_see_beyond", lambda self, machine: None)
-    stored = Term._take_places
+    monkeypatch.setattr(LeaderTerm, "_detect_lost_records", lambda self, machine: None)
+    stored = LeaderTerm._apply_decisions
 
     def take(self, choices):
         stored(self, choices)
-        for job in self.book.jobs.values():
-            for placement in list(job.placed.values()):
+        for job in self.job_table.jobs.values():
+            for placement in list(job.placements.values()):
                 if placement.phase == 0:
-                    self._stored(placement)
+                    self._on_placement_stored(placement)
 
-    monkeypatch.setattr(Term, "_take_places", take)
+    monkeypatch.setattr(LeaderTerm, "_apply_decisions", take)
 
 
 def silence_is_proof(monkeypatch):
     """What is silent counts as gone."""
-    look = Term._on_tick
+    look = LeaderTerm._on_tick
 
     def tick(self):
-        for machine in list(self.roster.machines.values()):
-            if self.loaded and machine.up and self.view.silence(machine) > 6.0:
+        for machine in list(self.worker_registry.machines.values()):
+            if self.loaded and machine.is_up and self.scheduling_view.silence_s(machine) > 6.0:
                 for placement in list(machine.placements.values()):
-                    job = self.book.jobs[placement.task.job]
-                    self.roster.detach(placement, job.spec, self.now)
-                    self.book.gone(placement)
+                    job = self.job_table.jobs[placement.task.job]
+                    self.worker_registry.unassign(placement, job.spec, self.now)
+                    self.job_table.release(placement)
         look(self)
 
-    monkeypatch.setattr(Term, "_on_tick", tick)
+    monkeypatch.setattr(LeaderTerm, "_on_tick", tick)
 
 
 def placements_forgotten(monkeypatch):
     """A new leader takes over no placement; and what would notice is left out too."""
-    monkeypatch.setattr(Term, "_see_beyond", lambda self, machine: None)
+    monkeypatch.setattr(LeaderTerm, "_detect_lost_records", lambda self, machine: None)
     monkeypatch.setattr(Job, "load_chunk", lambda self, first, entries: iter(()))
-    monkeypatch.setattr(Roster, "_facts", lambda self, machine, report, now: [])
+    monkeypatch.setattr(WorkerRegistry, "_compare_tasks", lambda self, machine, report, now: [])
 
 
 def no_limits(monkeypatch):
-    rooms = View.rooms
-    monkeypatch.setattr(View, "rooms", lambda self: {n: engine.Room(1e15, 1e15) for n in rooms(self)})
+    rooms = SchedulingView.quota_headroom
+    monkeypatch.setattr(
+        SchedulingView, "quota_headroom", lambda self: {n: engine.QuotaHeadroom(1e15, 1e15) for n in rooms(self)}
+    )
 
 
 def spot_for_all(monkeypatch):
-    monkeypatch.setattr(engine, "allowed", lambda spec, kind: True)
+    monkeypatch.setattr(engine, "is_kind_allowed", lambda spec, kind: True)
 
 
 def cancels_unwritten(monkeypatch):
     async def cancel(self, job):
-        return answer_of(jm.JobId(job), jm.Standing.CANCELLED, 0, 0)
+        return job_response(jm.JobId(job), jm.JobState.CANCELLED, 0, 0)
 
     monkeypatch.setattr(JobApi, "cancel", cancel)
 
 
 def done_with_the_first(monkeypatch):
-    monkeypatch.setattr(Job, "complete", property(lambda self: self.done_count > 0))
+    monkeypatch.setattr(Job, "is_complete", property(lambda self: self.done_count > 0))
 
 
 def accepted_unstored(monkeypatch):
     async def submit(self, body):
-        return answer_of(jm.JobId(json.loads(body)["id"]), jm.Standing.PENDING, 0, 0, 201)
+        return job_response(jm.JobId(json.loads(body)["id"]), jm.JobState.PENDING, 0, 0, 201)
 
     monkeypatch.setattr(JobApi, "submit", submit)
 
 
 def everything_pending(monkeypatch):
     async def query(self, job):
-        return answer_of(jm.JobId(job), jm.Standing.PENDING, 0, 0)
+        return job_response(jm.JobId(job), jm.JobState.PENDING, 0, 0)
 
     monkeypatch.setattr(JobApi, "query", query)
 
 
 def nothing_placed(monkeypatch):
-    monkeypatch.setattr(View, "wants", lambda self: [])
+    monkeypatch.setattr(SchedulingView, "pending_jobs", lambda self: [])
 
 
 def questions_refused(monkeypatch):
     async def query(self, job):
-        return Answer(503, b"{}") if job == "wk-000001" else await asked(self, job)
+        return ServerResponse(503, b"{}") if job == "wk-000001" else await asked(self, job)
 
     asked = JobApi.query
     monkeypatch.setattr(JobApi, "query", query)
@@ -196,7 +198,7 @@
 
 def test_the_command_prints_one_object_and_says_by_its_status_what_came_of_it(tmp_path):
     def run(*arguments):
-        return subprocess.run([sys.executable, "-m", "lab", "run", *arguments], capture_output=True, text=True)
+        return subprocess.run([sys.executable, "-m", "simulation", "run", *arguments], capture_output=True, text=True)
 
     good = run(str(EXAMPLES[0].parent / "quiet.toml"), "--seed", "2", "--json")
     told = json.loads(good.stdout)
--- a/tests/test_lookup.py
+++ b/tests/test_lookup.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from meadowcross.jobs.lookup import ABSENT, Lookup
+from meadowcross.jobs.job_reader import ABSENT_JOB, JobReader
 
 
 def put(world, *numbers, cancelled=False):
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize(("there", "asked", "first", "then"), [c[1:] for c in REQUESTS], ids=[c[0] for c in REQUESTS])
 def test_questions_share_reads(world, there, asked, first, then):
     put(world, *there)
-    lookup = Lookup(world.clock, world.store)
+    lookup = JobReader(world.clock, world.store)
     for most in (first, then, then):
         answers, requests = ask(world, lookup, [*asked, *asked])
         assert [n for n in asked if answers[n] is None] == [n for n in asked if n not in there]
@@ -64,14 +64,14 @@
     """What a round found out is not kept back while it reads on for other jobs: with a slow store such an answer, older
     by then than what another node had told, once came seconds late."""
     put(world, 1, 2)
-    lookup = Lookup(world.clock, world.store)
+    lookup = JobReader(world.clock, world.store)
     ask(world, lookup, [1])
     answers = {}
     world.store.get = lambda *arguments: Deferred()
     for number in (1, 2):
         lookup.find(f"wk-{number:06d}").addBoth(lambda found, n=number: answers.setdefault(n, found))
     world.pass_time(0.2)
-    assert answers[1].tasks == 3 and 2 not in answers
+    assert answers[1].task_count == 3 and 2 not in answers
 
 
 def test_a_question_that_waits_for_counts_is_not_answered_from_before(world):
@@ -90,33 +90,33 @@
 
 def test_what_changed_since_is_seen_by_the_next_question(world):
     put(world, 1, 2, 3)
-    lookup = Lookup(world.clock, world.store)
-    assert {n: a.tasks for n, a in ask(world, lookup, [1, 2, 3])[0].items()} == {1: 3, 2: 3, 3: 3}
+    lookup = JobReader(world.clock, world.store)
+    assert {n: a.task_count for n, a in ask(world, lookup, [1, 2, 3])[0].items()} == {1: 3, 2: 3, 3: 3}
     assert ask(world, lookup, [9])[0] == {9: None}
     end(world, 1)
     put(world, 2, cancelled=True)
     put(world, 9)
     answers, _ = ask(world, lookup, [1, 2, 3, 9])
-    assert answers[1].standing.value == "done"
+    assert answers[1].state.value == "done"
     # A stored cancel is no final state yet: its tasks may be anywhere. Nor is it remembered as one.
-    assert answers[2].cancelled and not answers[3].cancelled and lookup.final("wk-000002") is None
-    assert answers[3].tasks == 3 and answers[9].tasks == 3 and answers[9] is not ABSENT
+    assert answers[2].is_cancelled and not answers[3].is_cancelled and lookup.find_final("wk-000002") is None
+    assert answers[3].task_count == 3 and answers[9].task_count == 3 and answers[9] is not ABSENT_JOB
     # Final states need no read any more, not even in an outage.
     world.state.outage = True
     answers, requests = ask(world, lookup, [1])
-    assert answers[1].standing.value == "done" and requests == []
+    assert answers[1].state.value == "done" and requests == []
     assert isinstance(ask(world, lookup, [2])[0][2], Failure), "a cancel that has not ended is not told from memory"
     world.state.outage = False
     end(world, 2, "cancelled")
-    assert ask(world, lookup, [2])[0][2].standing.value == "cancelled"
+    assert ask(world, lookup, [2])[0][2].state.value == "cancelled"
     world.state.outage = True
     answers, requests = ask(world, lookup, [1, 2])
-    assert [answers[n].standing.value for n in (1, 2)] == ["done", "cancelled"] and requests == []
+    assert [answers[n].state.value for n in (1, 2)] == ["done", "cancelled"] and requests == []
 
 
 def test_a_question_that_came_during_a_read_is_not_answered_by_it(world):
     put(world, 1)
-    lookup = Lookup(world.clock, world.store)
+    lookup = JobReader(world.clock, world.store)
     ask(world, lookup, [1])
     held = []
 
@@ -137,7 +137,7 @@
     while held:
         held.pop(0).callback(None)
         world.pass_time(0.1)
-    assert first[0].tasks == 3 and second[0].standing.value == "done"
+    assert first[0].task_count == 3 and second[0].state.value == "done"
 
 
 def test_without_an_answer_every_question_is_refused_at_once_with_a_time_to_come_back(world):
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from measure import bounds, cancels, cost, history, learning, recovery, served, takeover, tickets
-from measure.day import money, read
+from benchmarks import bounds, cancels, cost, history, learning, recovery, served, takeover, tickets
+from benchmarks.day import money, read
 
 FACTS = """
 [[machine_types]]
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -7,15 +7,15 @@
 import pytest
 from twisted.internet.defer import succeed
 
-from lab.scenario import Fault, Jobs, load
-from lab.world import Lab
-from meadowcross.common.http import HttpClient, NotSent, Unanswered
-from meadowcross.jobs.lookup import ABSENT, Lookup
-from meadowcross.leadership.term import Term
-from meadowcross.rebuild import writeback
-from meadowcross.rebuild.era import Eras
-from meadowcross.store.commit import Built
-from meadowcross.workers import commands
+from meadowcross.common.http import ConnectionFailedError, HttpClient, NoResponseError
+from meadowcross.jobs.job_reader import ABSENT_JOB, JobReader
+from meadowcross.leadership.term import LeaderTerm
+from meadowcross.recovery import writeback
+from meadowcross.recovery.store_epochs import StoreEpochs
+from meadowcross.store.group_commit import Write
+from meadowcross.workers import dispatcher
+from simulation.scenario import Fault, Jobs, load
+from simulation.world import Lab
 from tests.mix import mixed
 from tests.test_addition import WHERE, copies_are_new, deaf_is_gone
 from tests.test_lab import done_with_the_first, no_leader_condition, placements_forgotten
@@ -141,8 +141,8 @@
 
 def hand_over(lab):
     election = lab.nodes[lab.leader()].election
-    election._made_way_in_vain = False
-    election.hand_over("asked to")
+    election._was_transfer_futile = False
+    election.begin_transfer("asked to")
 
 
 def carried_out_late(meeting):
@@ -192,7 +192,7 @@
 
     def look():
         term = meeting.lab.nodes[meeting.lab.leader()].term
-        machines = [m for m in term.roster.machines.values() if not m.confirmed]
+        machines = [m for m in term.worker_registry.machines.values() if not m.has_confirmed_token]
         meeting.pinned.append(sum(len(m.placements) for m in machines))
 
     for at in (40.0, 55.0):
@@ -245,7 +245,7 @@
     # Some thirty machines, as many users at once, and what the nodes ask of the store and of each other.
     assert 20 < max(meeting.sockets) < 150, max(meeting.sockets)
     for node in meeting.lab.nodes.values():
-        assert node.store.answering()
+        assert node.store.is_answering()
 
 
 def ends_far_apart():
@@ -319,9 +319,9 @@
     async def called(self, method, address, path, body, timeout):
         try:
             return await call(self, method, address, path, body, timeout)
-        except Unanswered as error:
+        except NoResponseError as error:
             if path == "/commands":
-                raise NotSent(str(error)) from error
+                raise ConnectionFailedError(str(error)) from error
             raise
 
     monkeypatch.setattr(HttpClient, "call", called)
@@ -329,49 +329,49 @@
 
 def answered_from_memory(monkeypatch):
     """What was read once is told again without a read."""
-    find = Lookup.find
+    find = JobReader.find
 
     def found(self, job):
-        seen = self._open.get(job)
-        return succeed(seen) if seen is not None and seen is not ABSENT else find(self, job)
+        seen = self._open_cache.get(job)
+        return succeed(seen) if seen is not None and seen is not ABSENT_JOB else find(self, job)
 
-    monkeypatch.setattr(Lookup, "find", found)
+    monkeypatch.setattr(JobReader, "find", found)
 
 
 def unheard_is_gone(monkeypatch):
     """What a new leader can't reach within seconds counts as gone."""
-    look = Term._on_tick
+    look = LeaderTerm._on_tick
 
     def tick(self):
-        for machine in list(self.roster.machines.values()):
-            unheard = not machine.up and self.now - self._began > 4.0
+        for machine in list(self.worker_registry.machines.values()):
+            unheard = not machine.is_up and self.now - self._started_at > 4.0
             for placement in list(machine.placements.values()):
-                if unheard and placement.inherited:
-                    self.roster.detach(placement, self.book.jobs[placement.task.job].spec, self.now)
-                    self.book.gone(placement)
+                if unheard and placement.is_inherited:
+                    self.worker_registry.unassign(placement, self.job_table.jobs[placement.task.job].spec, self.now)
+                    self.job_table.release(placement)
         look(self)
 
-    monkeypatch.setattr(Term, "_on_tick", tick)
+    monkeypatch.setattr(LeaderTerm, "_on_tick", tick)
 
 
 def reaped_before_stored(monkeypatch):
-    monkeypatch.setattr(commands, "_may_reap", lambda task, book: True)
+    monkeypatch.setattr(dispatcher, "_may_reap", lambda task, book: True)
 
 
 def never_asked_of_machines(monkeypatch):
     """A job that is on no record counts as being nowhere."""
-    monkeypatch.setattr(Term, "_shown_nowhere", lambda self, name, since: True)
+    monkeypatch.setattr(LeaderTerm, "_is_on_no_machine", lambda self, name, since: True)
 
 
 def stages_unconditional(monkeypatch):
-    monkeypatch.setattr(Eras, "progress_stands", Eras.condition)
+    monkeypatch.setattr(StoreEpochs, "progress_condition", StoreEpochs.epoch_condition)
 
 
 def open_though_ended(monkeypatch):
     def built(conditions, changes, done):
-        return Built([one for one in conditions if not one.key.startswith("e/")], changes, done)
+        return Write([one for one in conditions if not one.key.startswith("e/")], changes, done)
 
-    monkeypatch.setattr(writeback, "Built", built)
+    monkeypatch.setattr(writeback, "Write", built)
 
 
 FAULTS = [
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from meadowcross.common.settings import Operator
+from meadowcross.common.settings import OperatorSettings
 from meadowcross.common.types import Instant, MachineId
 from meadowcross.placement.engine import place
-from meadowcross.placement.preemption import GivingWay, Victim, in_hurry, mark_borrowed
+from meadowcross.placement.preemption import PreemptionPlanner, Victim, is_urgent, mark_borrowed
 from tests.test_engine import offer, rooms, want
 
 
@@ -30,8 +30,8 @@
 def test_hurry(slack, changes, start, hurry):
     victims = [victim()]
     waiting = want(slack=slack, **changes)
-    waiting.run_s, waiting.start_slack = 30.0, start
-    assert in_hurry(waiting, victims) is hurry
+    waiting.expected_run_s, waiting.start_slack_s = 30.0, start
+    assert is_urgent(waiting, victims) is hurry
 
 
 HOLDS = [
@@ -44,44 +44,44 @@
 @pytest.mark.parametrize(("running", "slack", "stopped", "held"), [h[1:] for h in HOLDS], ids=[h[0] for h in HOLDS])
 def test_a_larger_task_waits_for_ends_where_many_smaller_ones_run(running, slack, stopped, held):
     """Once a burst of large tasks threw away a seventh of all work done below them."""
-    giving = GivingWay(Operator())
+    giving = PreemptionPlanner(OperatorSettings())
     waiting = want(heads=1, rank=1, slack=slack, cpus=2.0)
-    waiting.run_s = 20.0
+    waiting.expected_run_s = 20.0
     victims = [victim(i, "big") for i in range(running)]
     offers = [offer("big", cpus=0.0)]
     seen = (lambda: offers, lambda _: offers)
-    chosen = giving.choose([waiting], {}, *seen, rooms(), lambda *_: victims, bool, lambda key: True, Instant(1.0))
+    chosen = giving.plan([waiting], {}, *seen, rooms(), lambda *_: victims, bool, lambda key: True, Instant(1.0))
     assert [len(group) for _, group in chosen] == [len(stopped)] * bool(stopped)
-    assert set(giving.holds) == held
+    assert set(giving.reservations) == held
     low = want(id="wk-000009", heads=1, rank=3)
     roomy = [offer("big", cpus=1.0)]
-    assert bool(place(roomy, [low], rooms(), Operator(), giving.holds)) is not bool(held)
+    assert bool(place(roomy, [low], rooms(), OperatorSettings(), giving.reservations)) is not bool(held)
 
 
 def test_of_what_a_team_borrows_the_least_important_and_least_costly_goes():
     victims = [victim("dear", loss=9.0), victim("cheap", loss=1.0), victim("high", rank=1, loss=0.0)]
     mark_borrowed(victims, {"b": 1.5})
-    assert [v.key for v in victims if v.borrowed] == ["cheap"]
+    assert [v.task_key for v in victims if v.is_borrowed] == ["cheap"]
 
 
 def test_nobody_is_asked_again_before_it_helped_or_some_time_has_passed():
-    giving = GivingWay(Operator())
+    giving = PreemptionPlanner(OperatorSettings())
     waiting, offers = want(heads=1, rank=1), [offer("m", cpus=0.0)]
-    waiting.start_slack = 0.5
+    waiting.start_slack_s = 0.5
     there = {"a"}
 
     def choose(at, key):
         seen = (lambda: offers, lambda _: offers)
         asked = there.__contains__
-        chosen = giving.choose([waiting], {}, *seen, rooms(), lambda *_: [victim(key)], bool, asked, Instant(at))
-        return [v.key for _, victims in chosen for v in victims]
+        chosen = giving.plan([waiting], {}, *seen, rooms(), lambda *_: [victim(key)], bool, asked, Instant(at))
+        return [v.task_key for _, victims in chosen for v in victims]
 
     assert choose(10.0, "a") == ["a"]
     assert choose(11.0, "b") == [], "the first is on its way"
     there.clear()
     assert choose(12.0, "b") == [], "it is gone and the job still waits: more would not help either"
     assert choose(14.5, "b") == ["b"]
-    giving.forget(waiting.job)
+    giving.forget(waiting.job_id)
     assert choose(14.6, "c") == ["c"]
 
 
@@ -89,17 +89,17 @@
     """Once a third of the tasks that should start within a second went to free room and
     fetched their image for two."""
     prompt = want(heads=2, rank=1)
-    prompt.warm_only, prompt.start_slack = True, 0.5
+    prompt.requires_cached_image, prompt.start_slack_s = True, 0.5
     offers = [offer("cold"), offer("warm", cpus=1.0, images=["img"]), offer("cold-too", cpus=0.0)]
     other = want(id="wk-000002", heads=1, rank=2)
-    choices = place(offers, [prompt, other], rooms(), Operator())
+    choices = place(offers, [prompt, other], rooms(), OperatorSettings())
     assert [c.machines for c in choices] == [["warm"], ["cold"]], "nobody else has to wait for warm room"
-    giving = GivingWay(Operator())
+    giving = PreemptionPlanner(OperatorSettings())
     victims = [victim("w", "warm", loss=9.0), victim("c", "cold-too", loss=0.0)]
     seen = (lambda: offers, lambda _: offers)
-    found = {prompt.job: 1}
-    chosen = giving.choose([prompt], found, *seen, rooms(), lambda *_: victims, bool, lambda key: True, Instant(1.0))
-    assert [v.key for _, group in chosen for v in group] == ["w"]
+    found = {prompt.job_id: 1}
+    chosen = giving.plan([prompt], found, *seen, rooms(), lambda *_: victims, bool, lambda key: True, Instant(1.0))
+    assert [v.task_key for _, group in chosen for v in group] == ["w"]
 
 
 LENDERS = [
@@ -117,14 +117,14 @@
     ("changes", "slack", "guaranteed", "graces"), [c[1:] for c in LENDERS], ids=[c[0] for c in LENDERS]
 )
 def test_what_a_guest_borrows_and_can_save_gives_way_to_a_guarantee_at_once(changes, slack, guaranteed, graces):
-    giving = GivingWay(Operator())
+    giving = PreemptionPlanner(OperatorSettings())
     waiting = want(heads=1, rank=3, slack=slack)
-    waiting.run_s, waiting.guaranteed = 30.0, guaranteed
+    waiting.expected_run_s, waiting.guaranteed_tasks = 30.0, guaranteed
     running = victim(**{"team": "guest", "borrowed": True, **changes})
     offers = [offer("m", cpus=0.0)]
     seen = (lambda: offers, lambda _: offers)
-    chosen = giving.choose([waiting], {}, *seen, rooms(), lambda *_: [running], bool, lambda key: True, Instant(1.0))
-    assert [v.grace for _, group in chosen for v in group] == graces
+    chosen = giving.plan([waiting], {}, *seen, rooms(), lambda *_: [running], bool, lambda key: True, Instant(1.0))
+    assert [v.grace_s for _, group in chosen for v in group] == graces
 
 
 AGED = [
@@ -139,14 +139,14 @@
 def test_a_job_that_waited_too_long_to_begin_gets_machines_that_nothing_else_enters(kind, one_zone, free, held):
     """Among many small urgent ones a large one never found room: each piece was refilled before it was large enough."""
     asked = want(heads=2, count=1 if kind == "batch" else 2, rank=3, breed=kind, oneZone=one_zone, cpus=4.0)
-    asked.aged = True
+    asked.is_starved = True
     names = ["e1", "e2", "w1", "w2"]
     offers = [
         offer(name, cpus=cpus, zone="east" if name[0] == "e" else "west")
         for name, cpus in zip(names, free, strict=True)
     ]
-    giving = GivingWay(Operator())
-    assert not giving.choose(
+    giving = PreemptionPlanner(OperatorSettings())
+    assert not giving.plan(
         [asked],
         {},
         lambda: offers,
@@ -157,28 +157,28 @@
         lambda key: True,
         Instant(1.0),
     )
-    assert set(giving.holds) == held
+    assert set(giving.reservations) == held
     urgent = want(id="wk-000009", heads=9, rank=0, cpus=1.0, memoryGb=0.0)
-    (choice,) = place(offers, [urgent, asked], rooms(), Operator(), giving.holds)
+    (choice,) = place(offers, [urgent, asked], rooms(), OperatorSettings(), giving.reservations)
     assert not held & set(choice.machines), "not even the most urgent"
 
 
 def test_what_waited_too_long_goes_first_and_within_its_limit():
     old, urgent = want(heads=1, rank=3, steward="a"), want(id="wk-000002", heads=1, rank=0)
-    old.aged = True
+    old.is_starved = True
     for limit, first in ((4.0, "wk-000001"), (0.5, "wk-000002")):
-        choices = place([offer("m", cpus=1.0)], [urgent, old], rooms(a=limit), Operator())
-        assert [choice.job for choice in choices] == [first]
+        choices = place([offer("m", cpus=1.0)], [urgent, old], rooms(a=limit), OperatorSettings())
+        assert [choice.job_id for choice in choices] == [first]
 
 
 def test_a_replica_that_is_missed_takes_room_where_its_image_is_and_no_other():
     asked = want(heads=2, count=1, rank=0, breed="daemon", scatter=True, siblings={MachineId("w"): ("west", 1)})
-    asked.warm_only, asked.fetch_s, asked.start_slack = True, 30.0, -30.0
+    asked.requires_cached_image, asked.image_fetch_s, asked.start_slack_s = True, 30.0, -30.0
     offers = [offer("cold"), offer("warm", cpus=0.0, memory=0.0, images=["img"])]
-    assert place(offers, [asked], rooms(), Operator()) == []
-    giving = GivingWay(Operator())
+    assert place(offers, [asked], rooms(), OperatorSettings()) == []
+    giving = PreemptionPlanner(OperatorSettings())
     victims = [victim("cheap", "cold", loss=0.0), victim("there", "warm", loss=9.0)]
-    chosen = giving.choose(
+    chosen = giving.plan(
         [asked],
         {},
         lambda: offers,
@@ -189,6 +189,6 @@
         lambda key: True,
         Instant(1.0),
     )
-    assert [v.key for _, gone in chosen for v in gone] == ["there"] and set(giving.holds) == {"warm"}
-    asked.warm_only = False
-    assert [choice.machines for choice in place(offers, [asked], rooms(), Operator())] == [["cold"]]
+    assert [v.task_key for _, gone in chosen for v in gone] == ["there"] and set(giving.reservations) == {"warm"}
+    asked.requires_cached_image = False
+    assert [choice.machines for choice in place(offers, [asked], rooms(), OperatorSettings())] == [["cold"]]
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -6,37 +6,37 @@
 
 import pytest
 
-from meadowcross.common.types import MachineId, ReportVersion
-from meadowcross.leadership.reach import Reach
+from meadowcross.common.types import HeartbeatVersion, MachineId
+from meadowcross.leadership.reachability import Reachability
 from meadowcross.workers.api import WorkerApi
-from meadowcross.workers.visitors import Visitors
+from meadowcross.workers.heartbeat_tracker import HeartbeatTracker
 
 REACH = [
-    ("all report", Reach(10, 10, 0), False),
-    ("half report", Reach(10, 5, 9), False),
-    ("most are silent, and a peer hears them", Reach(10, 4, 5), True),
-    ("most are silent for the peers too", Reach(10, 4, 4), False),
-    ("neither workers nor peers reach us", Reach(10, 0, None), True),
-    ("workers reach us, peers don't", Reach(10, 10, None), False),
-    ("no machine is in use", Reach(0, 0, 0), False),
-    ("the only machine is lost", Reach(1, 0, 0), False),
+    ("all report", Reachability(10, 10, 0), False),
+    ("half report", Reachability(10, 5, 9), False),
+    ("most are silent, and a peer hears them", Reachability(10, 4, 5), True),
+    ("most are silent for the peers too", Reachability(10, 4, 4), False),
+    ("neither workers nor peers reach us", Reachability(10, 0, None), True),
+    ("workers reach us, peers don't", Reachability(10, 10, None), False),
+    ("no machine is in use", Reachability(0, 0, 0), False),
+    ("the only machine is lost", Reachability(1, 0, 0), False),
 ]
 
 
 @pytest.mark.parametrize(("reach", "yields"), [c[1:] for c in REACH], ids=[c[0] for c in REACH])
 def test_who_makes_way(reach, yields):
-    assert reach.better_elsewhere is yields
+    assert reach.is_better_elsewhere is yields
 
 
 def test_a_follower_counts_the_workers_that_come_by(world):
-    visitors = Visitors(world.clock, 4.0)
+    visitors = HeartbeatTracker(world.clock, 4.0)
     api = WorkerApi(lambda: None, lambda: None, visitors)
     for name, tally in (("i-1", 1), ("i-2", 1), ("i-1", 2)):
-        assert api.report(json.dumps({"stall": name, "tenure": 1, "tally": tally}).encode()).status == 421
-    assert api.report(b"{}").status == 400
+        assert api.handle_heartbeat(json.dumps({"stall": name, "tenure": 1, "tally": tally}).encode()).status == 421
+    assert api.handle_heartbeat(b"{}").status == 400
     assert visitors.count() == 2
     world.clock.advance(3.0)
-    visitors.came(MachineId("i-1"), ReportVersion(1, 3))
+    visitors.record(MachineId("i-1"), HeartbeatVersion(1, 3))
     world.clock.advance(2.0)
     assert visitors.count() == 1
 
@@ -54,17 +54,19 @@
 @pytest.mark.parametrize(("versions", "counts"), [c[1:] for c in COPIES], ids=[c[0] for c in COPIES])
 def test_a_late_copy_of_a_report_speaks_for_nobody(world, versions, counts):
     """Neither here nor at the leader: copies would call for a leader's place, or speak for its death."""
-    visitors = Visitors(world.clock, 2.0)
+    visitors = HeartbeatTracker(world.clock, 2.0)
     term = busy(world)
     (name, worker), *_ = world.workers.items()
     world.reporting = False
     heard = []
     for session, seq in versions:
         world.pass_time(3.0)
-        visitors.came(MachineId(name), ReportVersion(session, seq))
+        visitors.record(MachineId(name), HeartbeatVersion(session, seq))
         worker.session, worker.seq = session, 1000 + seq - 1
         world.report(worker)
-        heard.append(term.roster.machines[name].reported_at if name in term.roster.machines else None)
+        heard.append(
+            term.worker_registry.machines[name].last_heartbeat_at if name in term.worker_registry.machines else None
+        )
     assert (visitors.count() == 1) is counts
     assert (heard[-1] == term.now) is counts
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -6,7 +6,7 @@
 import pytest
 
 from meadowcross.common.settings import Objective
-from meadowcross.jobs.aims import money_counts
+from meadowcross.jobs.objectives import may_wait_for_cheaper_capacity
 
 MONEY = [
     ("no aims at all: nothing is free", [], True),
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize(("objectives", "counts"), [m[1:] for m in MONEY], ids=[m[0] for m in MONEY])
 def test_money_counts_where_an_aim_gives_time_or_none_is_stated(objectives, counts):
-    assert money_counts(objectives) is counts
+    assert may_wait_for_cheaper_capacity(objectives) is counts
 
 
 def aims(world, *objectives):
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -10,18 +10,18 @@
 from msgspec import Raw
 from twisted.internet.defer import Deferred
 
-from lab.scenario import Fault, load
-from lab.world import Lab
 from meadowcross.cli import main as command
-from meadowcross.common.types import Mark, NodeName, Token, era_of, mark_of, token_of
-from meadowcross.rebuild.audit import Audit
-from meadowcross.rebuild.era import Eras, State
-from meadowcross.rebuild.merge import Source, merge
+from meadowcross.common.types import FencingToken, NodeName, Revision, compose_token, revision_of, store_epoch_of
+from meadowcross.recovery.audit import StoreAuditor
+from meadowcross.recovery.merge import RecoverySource, merge
+from meadowcross.recovery.store_epochs import EpochState, StoreEpochs
 from meadowcross.snapshots import files
 from meadowcross.snapshots.cli import restore
-from meadowcross.store.budget import Urgency
-from meadowcross.store.client import Conflicted, StoreClient, Unavailable
-from meadowcross.store.messages import Condition, Item, Put, raw
+from meadowcross.store.client import ConflictError, StoreClient, StoreUnavailableError
+from meadowcross.store.messages import Condition, Item, Put, encode_raw
+from meadowcross.store.token_bucket import RequestPriority
+from simulation.scenario import Fault, load
+from simulation.world import Lab
 from tests.test_lab import EXAMPLES
 from tests.test_replica import follow, write
 
@@ -30,10 +30,10 @@
 
 @pytest.mark.parametrize("era", [0, 1, 7, 2**23])
 def test_tokens_grow_with_eras_and_within_them(era):
-    token = token_of(era, Mark(412))
-    assert (era_of(token), mark_of(token)) == (era, 412) and token < 2**64
-    assert token < token_of(era, Mark(413)) < token_of(era + 1, Mark(1))
-    assert token_of(0, Mark(412)) == 412, "a cluster of the version before goes on with its tokens"
+    token = compose_token(era, Revision(412))
+    assert (store_epoch_of(token), revision_of(token)) == (era, 412) and token < 2**64
+    assert token < compose_token(era, Revision(413)) < compose_token(era + 1, Revision(1))
+    assert compose_token(0, Revision(412)) == 412, "a cluster of the version before goes on with its tokens"
 
 
 # Merging
@@ -42,11 +42,11 @@
 def items(**marks):
     """Keys written with `_` for `/`; the value tells its version."""
     named = {key.replace("_", "/"): mark for key, mark in marks.items()}
-    return {key: Item(key, Raw(b'"%d"' % mark), Mark(mark)) for key, mark in named.items()}
+    return {key: Item(key, Raw(b'"%d"' % mark), Revision(mark)) for key, mark in named.items()}
 
 
 def source(name, revision, era=0, whole=False, **marks):
-    return Source(NodeName(name), era, Mark(revision), whole, items(**marks))
+    return RecoverySource(NodeName(name), era, Revision(revision), whole, items(**marks))
 
 
 MERGES = [
@@ -153,11 +153,11 @@
 )
 def test_pictures_are_merged_by_version(sources, left, era_mark, holds, writes):
     left = left or {}
-    merged = merge(sources, left.values(), Mark(era_mark))
-    assert {key: item.mark for key, item in merged.items.items()} == holds
-    assert {item.key for item in merged.missing("")} == writes
-    assert set(merged.stale()) == {key for key in left if key not in holds}
-    again = merge(reversed(sources), left.values(), Mark(era_mark))
+    merged = merge(sources, left.values(), Revision(era_mark))
+    assert {key: item.mod_revision for key, item in merged.items.items()} == holds
+    assert {item.key for item in merged.missing_under("")} == writes
+    assert set(merged.stale_keys()) == {key for key in left if key not in holds}
+    again = merge(reversed(sources), left.values(), Revision(era_mark))
     assert again.items == merged.items, "the order in which they come is no matter"
 
 
@@ -171,14 +171,14 @@
     async def oldest():
         return rented
 
-    eras = Eras(world.clock, store, lost.append, lambda: None, oldest)
+    eras = StoreEpochs(world.clock, store, lost.append, lambda: None, oldest)
     Deferred.fromCoroutine(eras.run())
     world.pass_time(1.0)
     return eras, store, lost
 
 
 def put(world, store, key, mark=0):
-    return world.run(store.transact([Condition(key, Mark(mark))], [Put(key, raw(1))], Urgency.USER))
+    return world.run(store.transact([Condition(key, Revision(mark))], [Put(key, encode_raw(1))], RequestPriority.USER))
 
 
 def wipe(world):
@@ -209,61 +209,63 @@
     for number in range(5):
         put(world, store, f"j/{number}")
     harm(world)
-    outcome = world.run(store.transact([Condition("j/new", Mark(0))], [Put("j/new", raw(1))], Urgency.USER), 4.0)
+    outcome = world.run(
+        store.transact([Condition("j/new", Revision(0))], [Put("j/new", encode_raw(1))], RequestPriority.USER), 4.0
+    )
     world.pass_time(1.0)
-    assert (eras.state is State.LOST) is noticed and bool(lost) is noticed
+    assert (eras.state is EpochState.LOST) is noticed and bool(lost) is noticed
     if noticed:
-        assert eras.closed() is not None
-        refused = world.run(store.compare([Condition("j/0", Mark(9))]))
-        assert refused.check(Unavailable)
+        assert eras.unavailable_reason() is not None
+        refused = world.run(store.find_changed_keys([Condition("j/0", Revision(9))]))
+        assert refused.check(StoreUnavailableError)
         # Also what was written before it was noticed was refused, where the era's record was gone.
-        assert outcome.check(Unavailable) if "era" not in world.state.keys else True
+        assert outcome.check(StoreUnavailableError) if "era" not in world.state.keys else True
 
 
 def test_answers_that_overtake_each_other_are_no_loss(world):
     _, store, lost = eras_of(world)
-    then = store._seen()
+    then = store._request_baseline()
     put(world, store, "j/a")
-    store._note(then, Mark(world.state.revision - 1))
+    store._record_revision(then, Revision(world.state.revision - 1))
     assert lost == []
-    store._note(store._seen(), Mark(world.state.revision - 1))
+    store._record_revision(store._request_baseline(), Revision(world.state.revision - 1))
     assert len(lost) == 1
 
 
 @pytest.mark.parametrize(("rented", "noticed"), [(0.0, False), (3.0, False), (300.0, True)])
 def test_an_empty_store_with_old_machines_is_no_new_cluster(world, rented, noticed):
     eras, _, lost = eras_of(world, rented)
-    assert bool(lost) is noticed and eras.old is noticed and not eras.fresh
+    assert bool(lost) is noticed and eras.is_loss_older is noticed and not eras.is_new_cluster
 
 
 @pytest.mark.parametrize("loss", [False, True])
 def test_a_node_is_ready_only_when_it_serves_and_a_loss_noticed_meanwhile_stays_noticed(world, loss):
     first, _, _ = eras_of(world)
     second, store, lost = eras_of(world)
-    assert first.state is second.state is State.WHOLE
+    assert first.state is second.state is EpochState.INTACT
     second.record = second.record if loss else None
     get = store.get
 
     async def slow(key, urgency):
         item = await get(key, urgency)
         if key == "rebuild":
-            assert second.record is not None or second.closed() is not None
+            assert second.record is not None or second.unavailable_reason() is not None
             if loss:
-                second.lost("for the test")
+                second.report_loss("for the test")
         return item
 
-    store.get, second.state = slow, State.REBUILDING if loss else State.UNKNOWN
-    world.run(second.look())
+    store.get, second.state = slow, EpochState.RECOVERING if loss else EpochState.UNKNOWN
+    world.run(second.refresh())
     assert second.record is not None and bool(lost) is loss
-    assert second.state is (State.LOST if loss else State.WHOLE)
+    assert second.state is (EpochState.LOST if loss else EpochState.INTACT)
 
 
 def test_an_earlier_versions_store_is_taken_over_without_a_pause(world):
     world.state.transact({"if": [], "writes": [{"write": "j/old", "data": 1}]})
     eras, _, lost = eras_of(world, 300.0)
-    assert eras.state is State.WHOLE and not lost and eras.token(Mark(7)) == 7
-    eras.token_seen(Token(9))
-    assert eras.token(Mark(8)) is None and eras.token(Mark(10)) == 10
+    assert eras.state is EpochState.INTACT and not lost and eras.token_for_key(Revision(7)) == 7
+    eras.observe_token(FencingToken(9))
+    assert eras.token_for_key(Revision(8)) is None and eras.token_for_key(Revision(10)) == 10
 
 
 AUDITS = [
@@ -280,7 +282,7 @@
     eras, store, lost = eras_of(world)
     write(world, "t/a/00000")
     follower = follow(world)
-    audit = Audit(world.clock, store, eras, follower, lambda: True)
+    audit = StoreAuditor(world.clock, store, eras, follower, lambda: True)
     harm(world)
     get = store.get
 
@@ -291,7 +293,7 @@
         return item
 
     store.get = slow
-    world.run(audit._look("t/a/00000"))
+    world.run(audit._check_key("t/a/00000"))
     store.get = get
     assert (said in lost[0]) if said else lost == []
 
@@ -305,11 +307,20 @@
     before = 0
     for revision, state in states:
         manifest = files.Manifest(
-            files.KIND, files.FORMAT, 0, Mark(revision), Mark(before), 0, 0, "", NodeName("n0"), 100.0
+            files.MANIFEST_KIND,
+            files.FORMAT_VERSION,
+            0,
+            Revision(revision),
+            Revision(before),
+            0,
+            0,
+            "",
+            NodeName("n0"),
+            100.0,
         )
-        lines = [files.Line(k, Mark(m), Raw(b"%d" % m)) for k, m in state.items() if last.get(k) != m]
-        lines += [files.Line(k, Mark(revision), dropped=True) for k in last if k not in state]
-        files.write(str(directory), manifest, lines, 10**6)
+        lines = [files.SnapshotEntry(k, Revision(m), Raw(b"%d" % m)) for k, m in state.items() if last.get(k) != m]
+        lines += [files.SnapshotEntry(k, Revision(revision), is_dropped=True) for k in last if k not in state]
+        files.write_snapshot(str(directory), manifest, lines, 10**6)
         last, before = dict(state), revision
     return str(directory)
 
@@ -334,14 +345,20 @@
 SPOILED = [
     # name, file, what is done to it, what holds then, what is said
     ("none", None, None, THIRD, None),
-    ("torn", LAST + files.DATA, lambda c: c[:-9], SECOND, "torn"),
-    ("a bit turned", LAST + files.DATA, lambda c: c[:-9] + bytes([c[-9] ^ 1]) + c[-8:], SECOND, "checksum"),
-    ("in the middle of the chain", CHANGES + files.DATA, lambda c: c[:-1], FIRST, "torn"),
-    ("its manifest is broken", CHANGES + files.MANIFEST, lambda c: c[: len(c) // 2], FIRST, "manifest is broken"),
-    ("foreign", LAST + files.MANIFEST, manifest_of({"kind": "photo album"}), SECOND, "foreign"),
-    ("of a newer format", LAST + files.MANIFEST, manifest_of({"format": 9}), SECOND, "newer format"),
-    ("another's manifest", LAST + files.MANIFEST, manifest_of({"revision": 77}), SECOND, "another's"),
-    ("the full one is broken", FULL + files.DATA, lambda c: gzip.compress(b"{}"), None, "torn"),
+    ("torn", LAST + files.DATA_SUFFIX, lambda c: c[:-9], SECOND, "torn"),
+    ("a bit turned", LAST + files.DATA_SUFFIX, lambda c: c[:-9] + bytes([c[-9] ^ 1]) + c[-8:], SECOND, "checksum"),
+    ("in the middle of the chain", CHANGES + files.DATA_SUFFIX, lambda c: c[:-1], FIRST, "torn"),
+    (
+        "its manifest is broken",
+        CHANGES + files.MANIFEST_SUFFIX,
+        lambda c: c[: len(c) // 2],
+        FIRST,
+        "manifest is broken",
+    ),
+    ("foreign", LAST + files.MANIFEST_SUFFIX, manifest_of({"kind": "photo album"}), SECOND, "foreign"),
+    ("of a newer format", LAST + files.MANIFEST_SUFFIX, manifest_of({"format": 9}), SECOND, "newer format"),
+    ("another's manifest", LAST + files.MANIFEST_SUFFIX, manifest_of({"revision": 77}), SECOND, "another's"),
+    ("the full one is broken", FULL + files.DATA_SUFFIX, lambda c: gzip.compress(b"{}"), None, "torn"),
 ]
 
 
@@ -350,10 +367,10 @@
     directory = written(tmp_path, (5, FIRST), (8, SECOND), (9, THIRD))
     if file is not None:
         spoil(os.path.join(directory, file), act)
-    read = files.read(directory)
-    found = {key: item.mark for key, item in read.source.items.items()} if read.source is not None else None
+    read = files.read_newest(directory)
+    found = {key: item.mod_revision for key, item in read.source.items.items()} if read.source is not None else None
     assert found == holds
-    assert any(said in text for text in read.refused) if said else read.refused == []
+    assert any(said in text for text in read.rejections) if said else read.rejections == []
     status = command(["snapshot", "verify", "--directory", directory])
     out = capsys.readouterr()
     assert status == (2 if said else 0) and (said or "good up to revision 9") in out.err + out.out
@@ -362,39 +379,39 @@
 
 
 def test_a_restore_begins_an_era_writes_what_is_missing_and_refuses_where_somebody_leads(world, tmp_path, capsys):
-    there = files.read(written(tmp_path, (5, FIRST), (8, SECOND), (9, THIRD))).source
+    there = files.read_newest(written(tmp_path, (5, FIRST), (8, SECOND), (9, THIRD))).source
     store = StoreClient(world.clock, world.net, "state:1", world.settings.facts.state)
     world.run(restore(store, there))
     assert set(world.state.keys) == {"era", "rebuild", *THIRD} and "2 keys" in capsys.readouterr().out
     world.run(restore(store, there))
     assert "era 2: 2 keys" in capsys.readouterr().out
     eras, _, lost = eras_of(world)
-    assert eras.state is State.REBUILDING and not lost and era_of(eras.token(Mark(9))) == 2
+    assert eras.state is EpochState.RECOVERING and not lost and store_epoch_of(eras.token_for_key(Revision(9))) == 2
     write(world, "lead")
-    assert world.run(restore(store, there)).check(Conflicted)
+    assert world.run(restore(store, there)).check(ConflictError)
 
 
 def test_old_chains_go_and_the_newest_that_holds_stays(tmp_path):
     for first in (10, 20, 30, 40):
         written(tmp_path, (first, FIRST), (first + 1, SECOND))
-    assert files.remove_old(str(tmp_path), 2, 0.0) == 4
-    assert sorted(one.manifest.revision for one in files.found(str(tmp_path))) == [30, 31, 40, 41]
-    assert files.remove_old(str(tmp_path), 9, 1e9) == 2
-    assert [one.manifest.revision for one in files.found(str(tmp_path))] == [41, 40]
+    assert files.remove_old_snapshots(str(tmp_path), 2, 0.0) == 4
+    assert sorted(one.manifest.revision for one in files.list_snapshots(str(tmp_path))) == [30, 31, 40, 41]
+    assert files.remove_old_snapshots(str(tmp_path), 9, 1e9) == 2
+    assert [one.manifest.revision for one in files.list_snapshots(str(tmp_path))] == [41, 40]
 
 
 def test_a_full_disk_or_too_large_a_snapshot_leaves_nothing_half_written(tmp_path, monkeypatch):
-    manifest = files.Manifest(files.KIND, 1, 0, Mark(5), Mark(0), 0, 0, "", NodeName("n0"), 1.0)
-    lines = [files.Line("j/x", Mark(3), Raw(b"1"))]
+    manifest = files.Manifest(files.MANIFEST_KIND, 1, 0, Revision(5), Revision(0), 0, 0, "", NodeName("n0"), 1.0)
+    lines = [files.SnapshotEntry("j/x", Revision(3), Raw(b"1"))]
     with pytest.raises(OSError, match="at most 10"):
-        files.write(str(tmp_path), manifest, lines, 10)
+        files.write_snapshot(str(tmp_path), manifest, lines, 10)
 
     def full(file):
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(files.os, "fsync", full)
     with pytest.raises(OSError, match="No space"):
-        files.write(str(tmp_path), manifest, lines, 10**6)
+        files.write_snapshot(str(tmp_path), manifest, lines, 10**6)
     assert os.listdir(tmp_path) == []
 
 
@@ -444,7 +461,7 @@
     assert any(30.1 < at < 30.1 + within for at in placed)
     if not any(fault["kind"] == "machine_die" for fault in faults):
         assert result["lost"] == 0
-    assert {node.eras.state for node in world.nodes.values()} <= {State.WHOLE, State.REBUILDING}
+    assert {node.store_epochs.state for node in world.nodes.values()} <= {EpochState.INTACT, EpochState.RECOVERING}
 
 
 def test_the_rebuild_is_gone_on_with_after_each_stored_step():
@@ -490,7 +507,7 @@
         snapshot_every_s=5.0,
     )
     world.simulation.run(30.9)
-    assert files.read(str(tmp_path)).source is not None
+    assert files.read_newest(str(tmp_path)).source is not None
     result = world.play()
     assert result["lost"] == 0 and not any(one["rule"] == "ran_twice" for one in result["broken"])
     # What was accepted after the last snapshot only its user knows.
@@ -512,4 +529,4 @@
         ]
     )
     result = world.play()
-    assert result["broken"] == [] and {node.eras.record.number for node in world.nodes.values()} == {0}
+    assert result["broken"] == [] and {node.store_epochs.record.number for node in world.nodes.values()} == {0}
--- a/tests/test_relay_lab.py
+++ b/tests/test_relay_lab.py
@@ -6,15 +6,15 @@
 import msgspec
 import pytest
 
-from lab.scenario import Fault, Jobs, load
-from lab.world import Lab
-from meadowcross.common.http import NotSent, Unanswered
+from meadowcross.common.http import ConnectionFailedError, NoResponseError
 from meadowcross.common.settings import RelayMode
-from meadowcross.jobs.book import Phase
+from meadowcross.jobs.job_table import PlacementPhase
 from meadowcross.relay.pool import RelayPool
 from meadowcross.relay.relay import Relay
 from meadowcross.relay.service import RelayService
-from meadowcross.workers.roster import Change, Outcome
+from meadowcross.workers.registry import TaskChange, TaskOutcome
+from simulation.scenario import Fault, Jobs, load
+from simulation.world import Lab
 from tests.test_addition import WHERE
 from tests.test_meetings import signs_of
 
@@ -45,7 +45,7 @@
 
     @property
     def pool(self) -> RelayPool:
-        return self.lab.nodes[self.lab.leader()].term.relays
+        return self.lab.nodes[self.lab.leader()].term.relay_pool
 
     def at(self, when, look):
         self.lab.simulation.at(when, look)
@@ -91,7 +91,7 @@
 def killed_with_starts_open():
     """Three times a relay ends in the moment in which a worker has got starts from it, and its answer is on its way."""
     play = Relayed([], 100.0)
-    relayed = Relay.commands
+    relayed = Relay.send_commands
     due = [15.0, 35.0, 55.0]
 
     async def commands(self, passed):
@@ -102,7 +102,7 @@
             play.lab.simulation.later(0.0016, lambda: play.lab.kill(self._node, 5.0))
         return await relayed(self, passed)
 
-    play.patch = (Relay, "commands", commands)
+    play.patch = (Relay, "send_commands", commands)
     return play
 
 
@@ -138,7 +138,7 @@
 def leader_replaced_while_reports_are_on_their_way():
     """The leader ends as some relay waits for its answer to a changed report, three times."""
     play = Relayed([], 100.0)
-    passed = Relay.pass_on
+    passed = Relay.forward_heartbeat
     due = [15.0, 35.0, 55.0]
 
     async def pass_on(self, report, body):
@@ -148,7 +148,7 @@
             play.lab.simulation.later(0.0008, lambda: play.lab.kill(play.lab.leader(), 5.0))
         return await passed(self, report, body)
 
-    play.patch = (Relay, "pass_on", pass_on)
+    play.patch = (Relay, "forward_heartbeat", pass_on)
     return play
 
 
@@ -166,9 +166,9 @@
     play = Relayed([kill(when, 4.0) for when in times], 110.0, (TRAIN, FLOW))
 
     def starting():
-        jobs = play.lab.nodes[play.lab.leader()].term.book.jobs.values()
-        phases = {p.phase for job in jobs if job.is_gang for p in job.placed.values()}
-        play.marks.append(phases & {Phase.SENT, Phase.FETCHING, Phase.WAITING})
+        jobs = play.lab.nodes[play.lab.leader()].term.job_table.jobs.values()
+        phases = {p.phase for job in jobs if job.is_gang for p in job.placements.values()}
+        play.marks.append(phases & {PlacementPhase.SENT, PlacementPhase.FETCHING, PlacementPhase.WAITING})
 
     for when in times:
         play.at(when, starting)
@@ -238,15 +238,15 @@
     """Each comes once more after a moment, and again seconds later, while machines fetch images for new tasks."""
     fetched = [FLOW | {"class": f"flow-{n}", "image_gb": 1.5, "count": 12, "at_s": 4.0 + 6 * n} for n in range(8)]
     play = Relayed([], 100.0, [LONG, *fetched])
-    renewed = RelayService.renewed
+    renewed = RelayService.apply_renewals
 
     def again(self, renewals):
         renewed(self, renewals)
-        play.marks += renewals.reports
+        play.marks += renewals.renewals
         for after in (0.6, 3.0):
             play.lab.simulation.later(after, lambda: renewed(self, renewals))
 
-    play.patch = (RelayService, "renewed", again)
+    play.patch = (RelayService, "apply_renewals", again)
     return play
 
 
@@ -293,61 +293,61 @@
 
 def unanswered_is_unsent(monkeypatch):
     """What a relay was to send, and nothing is known of, counts as not sent."""
-    post = RelayPool.post
+    post = RelayPool.send_commands
 
     async def posted(self, machine, body):
         try:
             return await post(self, machine, body)
-        except Unanswered as error:
-            raise NotSent(str(error)) from error
+        except NoResponseError as error:
+            raise ConnectionFailedError(str(error)) from error
 
-    monkeypatch.setattr(RelayPool, "post", posted)
+    monkeypatch.setattr(RelayPool, "send_commands", posted)
 
 
 def grants_for_ever(monkeypatch):
     """A relay goes on with whatever it was granted once."""
-    monkeypatch.setattr(Relay, "granted", lambda self: self._grant)
+    monkeypatch.setattr(Relay, "active_grant", lambda self: self._grant)
 
 
 def tokens_unseen(monkeypatch):
     """And no higher token stops it, wherever it is seen."""
     grants_for_ever(monkeypatch)
-    answer = Relay.answer
+    answer = Relay.answer_unchanged
 
     def answered(self, report):
         lowered = min(report.token, self._grant.token) if self._grant is not None else report.token
         return answer(self, msgspec.structs.replace(report, token=lowered))
 
-    monkeypatch.setattr(Relay, "answer", answered)
-    monkeypatch.setattr(Relay, "token_seen", lambda self, token: None)
-    monkeypatch.setattr(Relay, "take_grant", lambda self, grant: setattr(self, "_grant", self._grant or grant))
+    monkeypatch.setattr(Relay, "answer_unchanged", answered)
+    monkeypatch.setattr(Relay, "on_token_seen", lambda self, token: None)
+    monkeypatch.setattr(Relay, "accept_grant", lambda self, grant: setattr(self, "_grant", self._grant or grant))
 
 
 def silence_is_theirs(monkeypatch):
     """A relay's silence counts as its workers' own."""
-    monkeypatch.setattr(RelayPool, "_excuse_silent", lambda self: None)
-    monkeypatch.setattr(RelayPool, "_lost", lambda self, node: self.assignment.lose(node))
+    monkeypatch.setattr(RelayPool, "_extend_grace", lambda self: None)
+    monkeypatch.setattr(RelayPool, "_remove_relay", lambda self, node: self.assignment.remove_relay(node))
 
 
 def renewals_prove(monkeypatch):
     """What did not run by the time of a renewal counts as gone, as if it were a whole report."""
-    renewed = RelayService.renewed
+    renewed = RelayService.apply_renewals
 
     def taken(self, renewals):
-        term = self._leading()
-        for one in renewals.reports if term is not None else []:
-            machine = term.roster.machines.get(one.machine)
+        term = self._current_term()
+        for one in renewals.renewals if term is not None else []:
+            machine = term.worker_registry.machines.get(one.machine)
             for placement in list(machine.placements.values()) if machine is not None else []:
-                if placement.phase in (Phase.SENT, Phase.FETCHING):
-                    term._settle(machine, Outcome(Change.GONE, placement, "lost"))
+                if placement.phase in (PlacementPhase.SENT, PlacementPhase.FETCHING):
+                    term._apply_outcome(machine, TaskOutcome(TaskChange.GONE, placement, "lost"))
         renewed(self, renewals)
 
-    monkeypatch.setattr(RelayService, "renewed", taken)
+    monkeypatch.setattr(RelayService, "apply_renewals", taken)
 
 
 def relays_all(monkeypatch):
     """Whoever beats is made a relay."""
-    grant = RelayPool.grant
+    grant = RelayPool.renew_grants
 
     def granted(self):
         peers = self._peers
@@ -357,7 +357,7 @@
         finally:
             self._peers = peers
 
-    monkeypatch.setattr(RelayPool, "grant", granted)
+    monkeypatch.setattr(RelayPool, "renew_grants", granted)
 
 
 FAULTS = [
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,18 +10,18 @@
 
 import pytest
 
-from lab.judge import Spec
-from scale import events as e
-from scale.copies import Growth, enlarge
-from scale.hosts import WORKER_PORT, free_network, worker_address
-from scale.plan import PlanError, load, stretched
-from scale.report import report, usage_by_role
-from scale.run import Interval, Usage
-from scale.verdict import Replay
+from loadtest import events as e
+from loadtest.copies import Growth, enlarge
+from loadtest.hosts import WORKER_PORT, free_network, worker_address
+from loadtest.plan import PlanError, load, stretched
+from loadtest.report import report, usage_by_role
+from loadtest.run import Interval, Usage
+from loadtest.verdict import Replay
+from simulation.judge import Spec
 
 ROOT = Path(__file__).resolve().parent.parent
-PLANS = sorted((ROOT / "examples" / "scale").rglob("*.toml"))
-SHORT = ROOT / "examples" / "scale" / "short.toml"
+PLANS = sorted((ROOT / "examples" / "loadtest").rglob("*.toml"))
+SHORT = ROOT / "examples" / "loadtest" / "short.toml"
 
 
 @pytest.mark.parametrize("path", PLANS, ids=[path.stem for path in PLANS])
@@ -51,7 +51,7 @@
     plan.write_text(text.replace(old, new, 1))
     with pytest.raises(PlanError, match=told.replace("$", r"\$").replace("[", r"\[")):
         load(str(plan))
-    command = [sys.executable, "-m", "scale", "run", str(plan), "--out", str(tmp_path / "out")]
+    command = [sys.executable, "-m", "loadtest", "run", str(plan), "--out", str(tmp_path / "out")]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
     assert done.returncode == 2 and told in done.stderr and not (tmp_path / "out").exists()
 
@@ -146,7 +146,7 @@
 def test_a_hundred_hollow_workers_and_real_controllers(tmp_path):
     """A relay is killed in the middle, and comes back. Everything that was started has ended."""
     out = tmp_path / "out"
-    command = [sys.executable, "-m", "scale", "run", str(SHORT), "--out", str(out)]
+    command = [sys.executable, "-m", "loadtest", "run", str(SHORT), "--out", str(out)]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
     assert done.returncode == 0, done.stdout + done.stderr
     summary = json.loads((out / "summary.json").read_text())
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from meadowcross.app import main
-from meadowcross.common.settings import Operator, SettingsError, load_operator, load_settings
+from meadowcross.common.settings import OperatorSettings, SettingsError, load_operator_settings, load_settings
+from meadowcross.controller.controller import main
 
 GOOD = """
 host_name = "paddock-0"
@@ -75,10 +75,10 @@
     path = tmp_path / "o.xml"
     path.write_text(xml)
     with pytest.raises(SettingsError, match=says):
-        load_operator(str(path))
+        load_operator_settings(str(path))
 
 
 def test_operator_settings_taken(tmp_path):
     path = tmp_path / "o.xml"
     path.write_text("<meadowcross><alpha>0.7</alpha><beta>0.3</beta><move-period-s>5</move-period-s></meadowcross>")
-    assert load_operator(str(path)) == Operator(alpha=0.7, beta=0.3, move_period_s=5.0)
+    assert load_operator_settings(str(path)) == OperatorSettings(alpha=0.7, beta=0.3, move_period_s=5.0)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from meadowcross.fleet.silence import patience
+from meadowcross.autoscaling.silence_timeouts import silence_timeout_by_zone
 
 CASES = [
     # name, silent and all machines by zone, patience by zone (8 s usually, 45 s until the list must have told)
@@ -21,7 +21,7 @@
 @pytest.mark.parametrize(("zones", "kept"), [c[1:] for c in CASES], ids=[c[0] for c in CASES])
 def test_patience(zones, kept):
     machines = [(zone, n < quiet) for zone, (quiet, count) in zones.items() for n in range(count)]
-    assert patience(machines, 8.0, 45.0) == kept
+    assert silence_timeout_by_zone(machines, 8.0, 45.0) == kept
 
 
 def test_the_room_of_deleted_machines_is_asked_for_at_once(world):
@@ -30,9 +30,9 @@
     world.submit(heads=8, cpus=2.0, builds=["small"], grazeS=600.0, sundownS=None)
     world.pass_time(6.0)
     assert world.running()
-    (dead,) = {p.machine for p in term.book.jobs["wk-000001"].placed.values() if p.task.number == 0}
-    kind = term.roster.machines[dead].kind
-    term.fleet._closed[kind] = term.now + 1000.0
+    (dead,) = {p.machine for p in term.job_table.jobs["wk-000001"].placements.values() if p.task.number == 0}
+    kind = term.worker_registry.machines[dead].kind
+    term.autoscaler._unavailable_until[kind] = term.now + 1000.0
     world.net.hosts.pop(world.workers.pop(dead).machine["addr"])
     world.cloud.on_delete = lambda name: None
     known = set(world.cloud.machines)
@@ -65,8 +65,8 @@
     world.cloud.trouble = fault == "trouble"
     world.net.faults = [("cloud:1/rentals/delete", fault)] * 99 if fault != "trouble" else []
     world.pass_time(12.0)
-    machine = term.roster.machines[name]
-    assert machine.condemned is not None
+    machine = term.worker_registry.machines[name]
+    assert machine.decommission_reason is not None
     world.workers, world.net.hosts[worker.machine["addr"]] = {name: worker}, away
     world.pass_time(3.0)
     world.cloud.trouble, world.net.faults = False, []
@@ -86,14 +86,18 @@
     world.pass_time(1.0)
     worker.tasks, worker.session = {}, 2
     world.pass_time(2.0)
-    machine = term.roster.machines[name]
-    assert machine.deaf_since is not None and not term.view.offerable(machine) and machine.condemned is None
+    machine = term.worker_registry.machines[name]
+    assert (
+        machine.unresponsive_since is not None
+        and not term.scheduling_view.is_schedulable(machine)
+        and machine.decommission_reason is None
+    )
     world.net.hosts[worker.machine["addr"]] = away
     world.pass_time(1.0)
-    assert term.view.offerable(machine), "taken back when answers arrive"
+    assert term.scheduling_view.is_schedulable(machine), "taken back when answers arrive"
     world.net.hosts.pop(worker.machine["addr"])
-    term.fleet._leader.sender.greet(name)
-    machine.deaf_since = term.now
+    term.autoscaler._host.dispatcher.probe(name)
+    machine.unresponsive_since = term.now
     world.pass_time(30.0, 0.25)
     assert name in world.cloud.deleted
 
@@ -106,7 +110,7 @@
     world.pass_time(8.0)
     assert world.running() == ["wk-000001/0"]
     (worker,) = (w for w in world.workers.values() if w.tasks)
-    machine = term.roster.machines[worker.machine["id"]]
+    machine = term.worker_registry.machines[worker.machine["id"]]
     assert machine.open_starts, "the first request may still arrive"
     for key in list(worker.tasks):
         worker.end(key)
