--- a/tests/test_term.py
+++ b/tests/test_term.py
@@ -7,10 +7,10 @@
 import msgspec
 import pytest
 
-from lab.standins import Worker
+from meadowcross.autoscaling import messages as fm
 from meadowcross.common.clock import pause
 from meadowcross.common.types import Address, WallTime
-from meadowcross.fleet import messages as fm
+from simulation.standins import Worker
 
 
 def placed(world, chunk="t/wk-000001/00000"):
@@ -74,20 +74,20 @@
     term = world.lead()
     world.submit(heads=1)
     world.pass_time(2.0, 0.05)
-    job = term.book.jobs["wk-000001"]
-    if not job.placed:
+    job = term.job_table.jobs["wk-000001"]
+    if not job.placements:
         world.pass_time(2.0)
-    machine = term.roster.machines[job.placed[0].machine]
+    machine = term.worker_registry.machines[job.placements[0].machine]
     worker = world.workers[machine.id]
     key = next(iter(worker.tasks))
     # As if the answer had been lost and the start not yet carried out.
     worker.tasks.clear()
-    term.roster.starts_sent(machine, 1, [(job.placed[0].task, job.placed[0].attempt)])
+    term.worker_registry.record_starts_sent(machine, 1, [(job.placements[0].task, job.placements[0].attempt)])
     world.pass_time(4.0)
-    assert job.placed[0].machine == machine.id and job.placed[0].attempt == key[1]
+    assert job.placements[0].machine == machine.id and job.placements[0].attempt == key[1]
     worker.session = 2
     world.pass_time(3.0)
-    assert job.placed[0].attempt == key[1] + 1
+    assert job.placements[0].attempt == key[1] + 1
     assert len(world.running()) == 1
 
 
@@ -102,7 +102,7 @@
     record = dict(world.state.value(job_key), c=1.0)
     world.state.transact({"if": [], "writes": [{"write": job_key, "data": record}]})
     world.pass_time(1.0)
-    assert term.book.jobs.get("wk-000001") is None
+    assert term.job_table.jobs.get("wk-000001") is None
     assert not any(key[0].startswith("wk-000001") for w in world.workers.values() for key in w.started)
     assert world.state.value("e/wk-000001") == {"s": "cancelled", "n": 2}
 
@@ -150,7 +150,7 @@
     world.submit(heads=3)
     world.pass_time(5.0)
     before = {key for w in world.workers.values() for key in w.started}
-    world.election.stand_down("test")
+    world.election.step_down("test")
     world.pass_time(1.0)
     second = world.term
     assert second is not first and second.token > first.token and second.loaded
@@ -174,11 +174,11 @@
         world.net.hosts.pop(worker.machine["addr"])
     world.reporting = False
     world.pass_time(60.0, 0.25)
-    job = term.book.jobs["wk-000001"]
-    assert len(job.placed) == 4 and term.book.use_of("a").cpus == 8.0
+    job = term.job_table.jobs["wk-000001"]
+    assert len(job.placements) == 4 and term.job_table.usage_of("a").cpus == 8.0
     world.cloud.trouble = False
     world.pass_time(5.0, 0.25)
-    assert term.book.use_of("a").cpus <= 8.0 and len(world.cloud.deleted) > 0
+    assert term.job_table.usage_of("a").cpus <= 8.0 and len(world.cloud.deleted) > 0
 
 
 def test_in_an_outage_reports_are_answered_and_nothing_new_starts(world):
@@ -205,8 +205,10 @@
                 if task["standing"] == "running":
                     worker.end(key, "error")
         world.pass_time(10.0, 0.1)
-    assert term.book.jobs["wk-000001"].pauses >= 1
-    assert not any(m.condemned and "fails" in m.condemned for m in term.roster.machines.values())
+    assert term.job_table.jobs["wk-000001"].pause_count >= 1
+    assert not any(
+        m.decommission_reason and "fails" in m.decommission_reason for m in term.worker_registry.machines.values()
+    )
 
 
 def test_a_machine_that_fails_what_succeeds_elsewhere_is_deleted(world):
@@ -244,8 +246,8 @@
     (old,) = [w for w in world.workers.values() if w.tasks]
     old.notice = 20.0
     world.pass_time(5.0)
-    job = term.book.jobs["wk-000001"]
-    assert job.placed[0].machine != old.machine["id"] and job.placed[0].attempt == 2
+    job = term.job_table.jobs["wk-000001"]
+    assert job.placements[0].machine != old.machine["id"] and job.placements[0].attempt == 2
     assert old.machine["id"] in world.cloud.deleted
     assert world.running() == ["wk-000001/0"]
 
@@ -356,7 +358,7 @@
     assert len(world.running()) == 100
     world.reporting = False
     first = world.term
-    world.election.stand_down("test")
+    world.election.step_down("test")
     greets = []
     for _ in range(60):
         before = len(world.net.calls)
@@ -364,7 +366,7 @@
         greets.append(sum("/commands" in path for _, path, _ in world.net.calls[before:]))
     assert world.term is not first and sum(greets) >= 100 and max(greets) <= 32
     # The machines are silent but for their answers, which confirm them all.
-    assert all(machine.confirmed for machine in world.term.roster.machines.values())
+    assert all(machine.has_confirmed_token for machine in world.term.worker_registry.machines.values())
 
 
 @pytest.mark.parametrize("breed", ["batch", "group", "daemon"])
@@ -382,8 +384,8 @@
     before = mine()
     assert len(before) == 2
     # Drained, it would not have been offered had the fleet looked at it a moment sooner.
-    ordinary = [m for m in world.term.roster.machines.values() if not m.kind.spot]
-    assert ordinary and not any(m.draining for m in ordinary)
+    ordinary = [m for m in world.term.worker_registry.machines.values() if not m.kind.spot]
+    assert ordinary and not any(m.is_draining for m in ordinary)
     world.pass_time(90.0, 0.25)
     assert mine() == before and len([task for task in world.running() if task.startswith("wk-000001")]) == 2
 
@@ -393,7 +395,7 @@
     world.submit()
     world.pass_time(6.0)
     assert len(world.running()) == 2
-    world.election.stand_down("for the test")
+    world.election.step_down("for the test")
     world.pass_time(4.0)
     second = world.term
     assert second is not first and second.loaded
@@ -440,7 +442,7 @@
     world.submit(grazeS=900.0)
     world.pass_time(8.0)
     lost = []
-    term._lost = lambda why, old=False: lost.append(why)
+    term._report_data_loss = lambda why, old=False: lost.append(why)
     old = dict(world.state.keys["j/wk-000001"])
     for worker in world.workers.values():
         worker.obey = lambda calls: None
@@ -448,14 +450,14 @@
 
     async def slow(key, urgency):
         item = await get(key, urgency)
-        if key == "j/wk-000001" and item.mark == old["mark"]:
+        if key == "j/wk-000001" and item.mod_revision == old["mark"]:
             world.state.transact({"if": [], "writes": [{"write": key, "data": old["data"] | {"c": 1.0}}]})
             await pause(world.clock, 1.0)
         return item
 
     term._store.get = slow
-    world.run(term._reread(["j/wk-000001"]))
-    assert lost == [] and term.book.jobs["wk-000001"].cancelled is not None
+    world.run(term._reread_keys(["j/wk-000001"]))
+    assert lost == [] and term.job_table.jobs["wk-000001"].cancelled_at is not None
 
 
 def test_a_large_picture_is_loaded_in_slices(world):
@@ -468,7 +470,7 @@
 
     def turn() -> None:
         if world.term is None or not world.term.loaded:
-            turns.append(len(world.term.roster.machines) if world.term is not None else 0)
+            turns.append(len(world.term.worker_registry.machines) if world.term is not None else 0)
             world.clock.callLater(0.0, turn)
 
     turn()
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -10,22 +10,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lab.standins import TYPES
+from meadowcross.autoscaling.messages import decode_machine_types
 from meadowcross.cli import main
 from meadowcross.common.settings import SettingsError, Team
-from meadowcross.fleet.messages import decode_types
 from meadowcross.jobs import messages as jm
-from meadowcross.jobs.api import refusal
+from meadowcross.jobs.api import rejection_reason
 from meadowcross.jobs.messages import decode_spec, encode
-from meadowcross.tickets.plan import native, plan_of
-from meadowcross.tickets.reading import MAX_BYTES, TicketError, job_of, task_parameters
-from meadowcross.tickets.site import load
+from meadowcross.openjd.plan import native, plan_of
+from meadowcross.openjd.reading import MAX_BYTES, TicketError, job_of, task_parameters
+from meadowcross.openjd.site import load
+from simulation.standins import TYPES
 
 ROOT = Path(__file__).parent.parent
 SITE = load(str(ROOT / "deploy" / "tickets.xml"))
 AGENCY = SITE.submitters[0]
 EXAMPLES = sorted((ROOT / "examples" / "tickets").iterdir())
-KINDS = decode_types(encode({"builds": TYPES})).types
+KINDS = decode_machine_types(encode({"builds": TYPES})).types
 LONG = int(os.environ.get("MEADOWCROSS_EXAMPLES", "0"))
 
 HEAD = "specificationVersion: jobtemplate-2023-09\nname: x\n"
@@ -37,7 +37,7 @@
     """Every step's job is one that a controller takes."""
     for number in range(len(plan.steps)):
         spec = decode_spec(encode(native(plan, number, f"wk-{number:06d}", AGENCY)))
-        assert refusal(spec, {"b": Team("b")}, KINDS, ["east", "west"]) is None
+        assert rejection_reason(spec, {"b": Team("b")}, KINDS, ["east", "west"]) is None
         assert (spec.team, spec.job_class, spec.priority) == ("b", "thumbnail", jm.Priority.NORMAL)
     return plan
 
--- a/tests/test_unhandled.py
+++ b/tests/test_unhandled.py
@@ -6,8 +6,8 @@
 
 from twisted.internet.defer import Deferred
 
-from lab.scenario import load
-from lab.world import Lab
+from simulation.scenario import load
+from simulation.world import Lab
 from tests.test_lab import EXAMPLES
 
 
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -6,16 +6,16 @@
 import pytest
 from twisted.internet.task import Clock
 
-from lab.standins import TYPES
+from meadowcross.autoscaling.messages import decode_machine_types, encode
 from meadowcross.common.settings import Objective, Settings
-from meadowcross.common.types import Instant, Mark, Token, WallTime
+from meadowcross.common.types import FencingToken, Instant, Revision, WallTime
 from meadowcross.estimates.runs import MeanRuns
-from meadowcross.fleet.messages import decode_types, encode
-from meadowcross.jobs.book import Book
+from meadowcross.jobs.job_table import JobTable
 from meadowcross.jobs.messages import JobRecord, JobSpec
-from meadowcross.leadership.view import View
-from meadowcross.workers.health import Health
-from meadowcross.workers.roster import Roster
+from meadowcross.leadership.scheduling_view import SchedulingView
+from meadowcross.workers.health import FailureTracker
+from meadowcross.workers.registry import WorkerRegistry
+from simulation.standins import TYPES
 from tests.conftest import SETTINGS, job
 
 WARM_ONLY = [
@@ -36,11 +36,13 @@
     clock.advance(100.0 + elapsed)
     settings = msgspec.convert(SETTINGS, Settings)
     facts = msgspec.structs.replace(settings.facts, objectives=[Objective("wait", "prompt", 0.8, None, within)])
-    types = decode_types(encode({"builds": TYPES})).types
-    book = Book()
-    book.add(JobRecord(msgspec.convert(job(herd=job_class, pullGb=image), JobSpec), WallTime(100.0)), Mark(1))
-    view = View(clock, facts, lambda: types, book, Roster(Token(1)), Health(bool), MeanRuns())
-    assert [want.warm_only for want in view.wants()] == [warm_only]
+    types = decode_machine_types(encode({"builds": TYPES})).types
+    book = JobTable()
+    book.add(JobRecord(msgspec.convert(job(herd=job_class, pullGb=image), JobSpec), WallTime(100.0)), Revision(1))
+    view = SchedulingView(
+        clock, facts, lambda: types, book, WorkerRegistry(FencingToken(1)), FailureTracker(bool), MeanRuns()
+    )
+    assert [want.requires_cached_image for want in view.pending_jobs()] == [warm_only]
 
 
 BEGIN = [
@@ -58,13 +60,15 @@
     clock = Clock()
     clock.advance(100.0 + elapsed)
     facts = msgspec.convert(SETTINGS, Settings).facts
-    types = decode_types(encode({"builds": TYPES})).types
-    book = Book()
-    waits = book.add(JobRecord(msgspec.convert(job(breed=kind), JobSpec), WallTime(100.0)), Mark(1))
+    types = decode_machine_types(encode({"builds": TYPES})).types
+    book = JobTable()
+    waits = book.add(JobRecord(msgspec.convert(job(breed=kind), JobSpec), WallTime(100.0)), Revision(1))
     list(waits.load_chunk(0, attempts))
     book.rebuild_waiting(waits)
-    view = View(clock, facts, lambda: types, book, Roster(Token(1)), Health(bool), MeanRuns())
-    assert [(want.aged, want.count) for want in view.wants()] == [expected]
+    view = SchedulingView(
+        clock, facts, lambda: types, book, WorkerRegistry(FencingToken(1)), FailureTracker(bool), MeanRuns()
+    )
+    assert [(want.is_starved, want.task_count) for want in view.pending_jobs()] == [expected]
 
 
 LOST = [
@@ -84,13 +88,15 @@
     clock = Clock()
     clock.advance(500.0)
     facts = msgspec.convert(SETTINGS, Settings).facts
-    types = decode_types(encode({"builds": TYPES})).types
-    book = Book()
+    types = decode_machine_types(encode({"builds": TYPES})).types
+    book = JobTable()
     spec = msgspec.convert(job(breed=kind, pullGb=image, scatter=True, sundownS=None), JobSpec)
-    lost = book.add(JobRecord(spec, WallTime(100.0)), Mark(1))
+    lost = book.add(JobRecord(spec, WallTime(100.0)), Revision(1))
     lost.attempts = [1, 1]
     book.rebuild_waiting(lost)
-    lost.lost_at = Instant(500.0 - ago)
-    view = View(clock, facts, lambda: types, book, Roster(Token(1)), Health(bool), MeanRuns())
-    (want,) = view.wants()
-    assert (want.warm_only, want.start_slack < 0) == (warm_only, hurry)
+    lost.last_loss_at = Instant(500.0 - ago)
+    view = SchedulingView(
+        clock, facts, lambda: types, book, WorkerRegistry(FencingToken(1)), FailureTracker(bool), MeanRuns()
+    )
+    (want,) = view.pending_jobs()
+    assert (want.requires_cached_image, want.start_slack_s < 0) == (warm_only, hurry)
--- a/tests/test_wire_samples.py
+++ b/tests/test_wire_samples.py
@@ -13,8 +13,8 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 import meadowcross
-from meadowcross.leadership.peerlink import PeerLink
-from meadowcross.snapshots.files import DATA, MANIFEST, read
+from meadowcross.leadership.peer_link import PeerLink
+from meadowcross.snapshots.files import DATA_SUFFIX, MANIFEST_SUFFIX, read_newest
 from meadowcross.store.messages import encode as encode_store
 from tests.support import wire_constants
 from tests.support.wire_samples import (
@@ -98,7 +98,7 @@
 
 
 def test_snapshot_of_before_is_read():
-    source, refused = read(str(wire_constants.SNAPSHOT))
+    source, refused = read_newest(str(wire_constants.SNAPSHOT))
     assert refused == [] and source is not None
     written = {key: json.loads(msgspec.json.encode(item)) for key, item in source.items.items()}
     assert written == {
@@ -108,15 +108,15 @@
 
 
 def test_snapshot_is_written_as_before(tmp_path):
-    wire_constants.write_snapshot(tmp_path)
+    wire_constants.write_sample_snapshot(tmp_path)
     names = sorted(path.name for path in wire_constants.SNAPSHOT.iterdir())
     assert sorted(path.name for path in tmp_path.iterdir()) == names and len(names) == 4
     for name in names:
         then, now = ((folder / name).read_bytes() for folder in (wire_constants.SNAPSHOT, tmp_path))
-        if name.endswith(DATA):
+        if name.endswith(DATA_SUFFIX):
             assert gzip.decompress(now) == gzip.decompress(then)
         else:
-            assert name.endswith(MANIFEST)
+            assert name.endswith(MANIFEST_SUFFIX)
             lines = [
                 [line for line in text.splitlines() if not line.strip().startswith(COMPRESSION_DEPENDENT)]
                 for text in (now.decode(), then.decode())
