--- /dev/null
+++ b/tests/test_docs.py
@@ -0,0 +1,67 @@
+"""What the entry pages name exists: paths, links, modules that are run, classes."""
+
+from __future__ import annotations
+
+import ast
+import importlib.util
+import re
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).resolve().parent.parent
+PAGES = ("README.md", "CONTRIBUTING.md", "docs/architecture.md")
+PACKAGES = ("meadowcross", "simulation", "loadtest", "benchmarks")
+PATH = re.compile(r"\b(?:meadowcross|docs|tests|deploy|examples|simulation|loadtest|benchmarks)/[\w.*/-]*\w")
+LINK = re.compile(r"\]\(([^)#\s]+)(?:#([\w-]+))?\)")
+MODULE = re.compile(r"python3? -m ([\w.]+)")
+CLASS = re.compile(r"\b[A-Z][a-z]+(?:[A-Z][a-z]+)+\b")
+
+
+def text_of(page: str) -> str:
+    return (ROOT / page).read_text(encoding="utf-8")
+
+
+def anchors_of(page: Path) -> set[str]:
+    """The headings' anchors, as the usual renderers of Markdown form them."""
+    headings = re.findall(r"^#+ (.+)$", page.read_text(encoding="utf-8"), re.MULTILINE)
+    return {re.sub(r"[^\w -]", "", heading.strip().lower()).replace(" ", "-") for heading in headings}
+
+
+def defined_classes() -> set[str]:
+    sources = [path for package in PACKAGES for path in (ROOT / package).rglob("*.py")]
+    trees = [ast.parse(path.read_text(encoding="utf-8")) for path in sources]
+    return {node.name for tree in trees for node in ast.walk(tree) if isinstance(node, ast.ClassDef)}
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_every_path_named_in_a_page_exists(page: str) -> None:
+    named = set(PATH.findall(text_of(page)))
+    missing = [path for path in sorted(named) if not any(ROOT.glob(path))]
+    assert named
+    assert not missing
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_every_link_of_a_page_leads_to_a_file_and_heading(page: str) -> None:
+    broken = []
+    for target, anchor in LINK.findall(text_of(page)):
+        if "://" in target:
+            continue
+        file = (ROOT / page).parent / target
+        if not file.exists() or (anchor and anchor not in anchors_of(file)):
+            broken.append((target, anchor))
+    assert not broken
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_every_module_run_in_a_page_can_be_found(page: str) -> None:
+    modules = set(MODULE.findall(text_of(page)))
+    missing = [name for name in sorted(modules) if importlib.util.find_spec(name) is None]
+    assert not missing
+
+
+def test_every_class_named_in_the_architecture_page_is_defined() -> None:
+    named = set(CLASS.findall(text_of("docs/architecture.md")))
+    assert named
+    assert not named - defined_classes()
