--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -152,7 +152,7 @@
     assert term is not None
     for _ in range(100):
         world.clock.advance(0.05)
-        if all(m.has_confirmed_token for m in term.worker_registry.machines.values()):
+        if all(m.proof.has_confirmed_token for m in term.worker_registry.machines.values()):
             break
     gc.collect()
     held = resident_mb() - empty
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -36,7 +36,8 @@
 from meadowcross.relay.relay import RelayedWorker
 from meadowcross.replication.store_replica import StoreReplica
 from meadowcross.workers import messages as wm
-from meadowcross.workers.registry import Machine, WorkerRegistry
+from meadowcross.workers.machine import Machine
+from meadowcross.workers.registry import WorkerRegistry
 
 TASKS_A_WORKER = 11
 TASKS_A_JOB = 200
--- a/meadowcross/autoscaling/autoscaler.py
+++ b/meadowcross/autoscaling/autoscaler.py
@@ -43,7 +43,8 @@
 from meadowcross.placement.engine import PendingJob, QuotaHeadroom, is_kind_allowed, queue_order
 from meadowcross.workers.dispatcher import CommandDispatcher
 from meadowcross.workers.eviction import plan_drain_evictions
-from meadowcross.workers.registry import Machine, WorkerRegistry
+from meadowcross.workers.machine import Machine
+from meadowcross.workers.registry import WorkerRegistry
 
 log = get_logger("fleet")
 
@@ -186,11 +187,11 @@
         have begun again beside their images, were deleted when the cloud was back."""
         if (
             not machine.is_decommissioned_for_silence
-            or not machine.has_confirmed_token
+            or not machine.proof.has_confirmed_token
             or self._host.scheduling_view.is_silent(machine)
         ):
             return False
-        if machine.unresponsive_since is not None:
+        if machine.contact.unresponsive_since is not None:
             self._host.dispatcher.probe(machine.id)
             return False
         log.info("machine %s speaks again before it was deleted", machine.id)
@@ -269,11 +270,13 @@
         view = self._host.scheduling_view
         # Counted as soon as silence shows, or those silent first would be given up before the others.
         contacted = [
-            x for x in self._host.worker_registry.machines.values() if x.is_up or x.hinted_contact_at is not None
+            x
+            for x in self._host.worker_registry.machines.values()
+            if x.is_up or x.contact.hinted_contact_at is not None
         ]
         is_recently_heard = view.contact_check()
         silent_by_machine = [
-            (x.kind.zone, not is_recently_heard(x) or x.unresponsive_since is not None) for x in contacted
+            (x.kind.zone, not is_recently_heard(x) or x.contact.unresponsive_since is not None) for x in contacted
         ]
         cloud_list_s = DEAD_MACHINE_LISTED_S + 2 * LIST_LAG_FACTOR * self._facts.cloud.list_lag_s
         timeouts = silence_timeout_by_zone(silent_by_machine, self._operator.silent_s, cloud_list_s)
@@ -282,25 +285,25 @@
         for machine in list(self._host.worker_registry.machines.values()):
             if machine.decommission_reason is not None:
                 continue
-            if well_within and machine.unresponsive_since is None and is_recently_heard(machine):
+            if well_within and machine.contact.unresponsive_since is None and is_recently_heard(machine):
                 continue
-            if machine.is_up or machine.hinted_contact_at is not None:
+            if machine.is_up or machine.contact.hinted_contact_at is not None:
                 # Heard by the leader before us, it is judged as if we had been that one, once it can have found us.
                 had_time_to_report = machine.is_up or now - self._started_at > view.contact_window_s
                 silence_s = view.silence_s(machine)
                 if had_time_to_report and silence_s > timeouts[machine.kind.zone]:
                     self.decommission(machine, f"silent for {silence_s:.1f} s", True)
-                elif machine.unresponsive_since is not None and self._is_unreachable_too_long(
+                elif machine.contact.unresponsive_since is not None and self._is_unreachable_too_long(
                     machine, timeouts[machine.kind.zone]
                 ):
                     self.decommission(machine, "it reports, and nothing reaches it", True)
-                elif view.is_silent(machine) or machine.unresponsive_since is not None:
+                elif view.is_silent(machine) or machine.contact.unresponsive_since is not None:
                     self._host.dispatcher.probe(machine.id)
             elif machine.placements or machine.address is not None:
                 # It was up under an earlier leader: its worker may still look for the new one.
                 if machine.address is not None:
                     self._host.dispatcher.probe(machine.id)
-                if now - max(self._started_at, machine.first_seen_at) > self._facts.workers.lease_s:
+                if now - max(self._started_at, machine.contact.first_seen_at) > self._facts.workers.lease_s:
                     self.decommission(machine, "silent since it is known to this term", True)
             else:
                 give_up_s = (
@@ -314,9 +317,14 @@
         """Whether it is given up though it reports. If answers don't reach it either, its lease has run out and its
         tasks are gone; if they do, what it runs may go on. It is kept for a lease, and as long again as a silent one
         of its zone would be."""
-        assert machine.unresponsive_since is not None
-        has_started_tasks = any((p.task, p.attempt) not in machine.open_starts for p in machine.placements.values())
-        return not has_started_tasks and self.now - machine.unresponsive_since > self._facts.workers.lease_s + timeout_s
+        assert machine.contact.unresponsive_since is not None
+        has_started_tasks = any(
+            (p.task, p.attempt) not in machine.proof.open_starts for p in machine.placements.values()
+        )
+        return (
+            not has_started_tasks
+            and self.now - machine.contact.unresponsive_since > self._facts.workers.lease_s + timeout_s
+        )
 
     def _delete_decommissioned(self) -> None:
         to_delete = [
@@ -386,7 +394,7 @@
             if (
                 machine.decommission_reason is not None
                 or machine.placements
-                or machine.orphaned_tasks
+                or machine.reported.orphaned
                 or not machine.is_up
             ):
                 continue
@@ -430,9 +438,9 @@
             MachineUsage(
                 x.id,
                 x.machine_type.cpus,
-                x.used_cpus,
+                x.usage.cpus,
                 x.machine_type.memory_gb,
-                x.used_memory_gb,
+                x.usage.memory_gb,
                 kind_price(x.kind, x.machine_type),
             )
             for x in self._host.worker_registry.machines.values()
--- a/meadowcross/autoscaling/incoming_capacity.py
+++ b/meadowcross/autoscaling/incoming_capacity.py
@@ -14,7 +14,8 @@
 from meadowcross.estimates.samples import ran
 from meadowcross.jobs.job_table import JobTable, PlacementPhase
 from meadowcross.jobs.messages import JobSpec
-from meadowcross.workers.registry import Machine, WorkerRegistry
+from meadowcross.workers.machine import Machine
+from meadowcross.workers.registry import WorkerRegistry
 
 COMPLETION_HORIZON_BOOTS = 0.5
 """What ends within half a boot is there sooner than what is rented for it."""
@@ -98,9 +99,9 @@
         if not machine.is_up or is_usable(machine):
             capacity = IncomingCapacity(
                 machine.kind,
-                machine_type.cpus - machine.used_cpus,
-                machine_type.gpus - machine.used_gpus,
-                machine_type.memory_gb - machine.used_memory_gb,
+                machine_type.cpus - machine.usage.cpus,
+                machine_type.gpus - machine.usage.gpus,
+                machine_type.memory_gb - machine.usage.memory_gb,
             )
             incoming.append(capacity)
             if machine.is_up:
--- a/meadowcross/leadership/cancellation_tracker.py
+++ b/meadowcross/leadership/cancellation_tracker.py
@@ -56,7 +56,7 @@
                 self._known_ended.add(job_id)
                 self._unconfirmed_ends[job_id] = (mark, self.now)
                 for machine in self.worker_registry.machines.values():
-                    machine.reconciled_tasks = None
+                    machine.proof.reconciled_tasks = None
         return True
 
     def _confirm_terminations(self) -> None:
@@ -86,11 +86,11 @@
         and be in neither list."""
         return all(
             (
-                (machine.has_confirmed_token and (machine.last_status_at or 0.0) > known_since)
+                (machine.proof.has_confirmed_token and (machine.contact.last_status_at or 0.0) > known_since)
                 or machine.rented_at > self._started_at
             )
             and not any(
-                TaskId.parse(task.task).job == job_id for task in (*machine.orphaned_tasks, *machine.stale_tasks)
+                TaskId.parse(task.task).job == job_id for task in (*machine.reported.orphaned, *machine.reported.stale)
             )
             for machine in self.worker_registry.machines.values()
         )
--- a/meadowcross/leadership/heartbeat_handler.py
+++ b/meadowcross/leadership/heartbeat_handler.py
@@ -15,7 +15,8 @@
 from meadowcross.workers import messages as wm
 from meadowcross.workers.dispatcher import commands_for
 from meadowcross.workers.eviction import plan_reclaim_evictions
-from meadowcross.workers.registry import Machine, StaleTokenError, TaskChange, TaskOutcome
+from meadowcross.workers.machine import Machine
+from meadowcross.workers.registry import StaleTokenError, TaskChange, TaskOutcome
 
 log = get_logger("leadership")
 
@@ -41,7 +42,7 @@
         known_machine = self.worker_registry.machines.get(heartbeat.machine)
         # A copy that comes late says nothing of whom its machine reaches now.
         is_copy = known_machine is not None and heartbeat.version <= max(
-            known_machine.heartbeat_version, known_machine.renewed_version
+            known_machine.proof.heartbeat_version, known_machine.proof.renewed_version
         )
         try:
             is_newest = self._apply_heartbeat(heartbeat)
@@ -50,7 +51,7 @@
             return None
         machine = self.worker_registry.machines[heartbeat.machine]
         if not is_copy:
-            machine.last_heartbeat_at = self.now
+            machine.contact.last_heartbeat_at = self.now
             if self.relay_pool is not None and (other_node := self.relay_pool.assign_relay(machine, relay)) is not None:
                 return wm.Redirect(other_node)
         return wm.HeartbeatResponse(self.token, commands_for(machine, self.job_table) if is_newest else [])
@@ -61,10 +62,10 @@
         return (
             machine is not None
             and heartbeat.token == self.token
-            and heartbeat.version == machine.heartbeat_version
-            and machine.reconciled_tasks is not None
-            and not machine.stale_tasks
-            and not machine.orphaned_tasks
+            and heartbeat.version == machine.proof.heartbeat_version
+            and machine.proof.reconciled_tasks is not None
+            and not machine.reported.stale
+            and not machine.reported.orphaned
             and all(task.state is not wm.TaskState.EXITED for task in heartbeat.tasks)
             and all(placement.stop_requested_at is None for placement in machine.placements.values())
         )
@@ -83,18 +84,22 @@
         )
         is_first = not machine.is_up
         previous_addr = machine.address
-        was_confirmed = machine.has_confirmed_token
+        was_confirmed = machine.proof.has_confirmed_token
         previous_reclaim_at = machine.reclaim_at
-        previous_incarnation = machine.heartbeat_version.incarnation
-        if machine.is_up and self.scheduling_view.is_silent(machine) and heartbeat.version > machine.heartbeat_version:
-            machine.silence_ended_at = self.now
+        previous_incarnation = machine.proof.heartbeat_version.incarnation
+        if (
+            machine.is_up
+            and self.scheduling_view.is_silent(machine)
+            and heartbeat.version > machine.proof.heartbeat_version
+        ):
+            machine.contact.silence_ended_at = self.now
         outcomes = self.worker_registry.apply_heartbeat(machine, heartbeat, self.now)
-        if outcomes is not None and (machine.stale_tasks or machine.exited_tasks):
+        if outcomes is not None and (machine.reported.stale or machine.reported.exited):
             if self._is_recovery_unsettled():
                 self._adopt_orphans(machine)
             else:
                 self._detect_lost_records(machine)
-        if machine.has_confirmed_token and not was_confirmed:
+        if machine.proof.has_confirmed_token and not was_confirmed:
             self._on_machine_verified(machine.id)
         if machine.address != previous_addr or not machine.is_stored:
             self.store_machine(machine)
@@ -102,13 +107,13 @@
             self.autoscaler.on_machine_up(machine)
         if is_first and machine.is_up:
             log.info("machine %s (%s) reports first", machine.id, machine.kind.type)
-        if machine.heartbeat_version.incarnation > previous_incarnation > 0:
-            log.info("machine %s began session %d", machine.id, machine.heartbeat_version.incarnation)
+        if machine.proof.heartbeat_version.incarnation > previous_incarnation > 0:
+            log.info("machine %s began session %d", machine.id, machine.proof.heartbeat_version.incarnation)
         if machine.reclaim_at is not None and previous_reclaim_at is None:
             log.info("machine %s is taken back in %.0f s", machine.id, machine.reclaim_at - self.now)
         for outcome in outcomes or ():
             self._apply_outcome(machine, outcome)
-        if machine.has_confirmed_token and not was_confirmed and self._awaited_answers > 0:
+        if machine.proof.has_confirmed_token and not was_confirmed and self._awaited_answers > 0:
             self._awaited_answers -= 1
             if not self._awaited_answers:
                 self._log_milestone("nine of ten machines answered")
@@ -116,7 +121,7 @@
                     # After a cold start that is enough: a store that lost its last seconds would have shown by now.
                     self._unverified_machines.clear()
                     self.schedule_pass()
-        if outcomes or (machine.has_confirmed_token and not was_confirmed):
+        if outcomes or (machine.proof.has_confirmed_token and not was_confirmed):
             self.schedule_pass()
         return outcomes is not None
 
@@ -128,21 +133,24 @@
             return
         now = self.now
         if outcome.change is TaskChange.RUNNING:
-            machine.record_cached_image(job.spec.image)
+            machine.images.record(job.spec.image)
             log.debug("task %s runs on %s after %.2f s", placement.task, machine.id, now - placement.placed_at)
             return
         if outcome.change is TaskChange.WAITING:
-            machine.record_cached_image(job.spec.image)
+            machine.images.record(job.spec.image)
             return
         self.worker_registry.unassign(placement, job.spec, now)
         if outcome.change is TaskChange.DONE:
             if placement.running_at is not None:
                 log.debug("task %s done on %s after %.2f s", placement.task, machine.id, now - placement.running_at)
             run_site = Where(
-                machine.id, machine.kind.type, not self.health.is_quarantined(machine.id), machine.silence_ended_at
+                machine.id,
+                machine.kind.type,
+                not self.health.is_quarantined(machine.id),
+                machine.contact.silence_ended_at,
             )
             self._samples.done(job, placement, run_site, now)
-            machine.record_cached_image(job.spec.image)
+            machine.images.record(job.spec.image)
             self.job_table.complete_task(placement)
             self._decommission(self.health.record_success(job, machine.id), UNHEALTHY_REASON)
         else:
@@ -173,12 +181,16 @@
             placement.stop_requested_at = self.now
             placement.grace_s = grace_s
             # Repeated with each answer to a report, so a relay must not answer the next one by itself.
-            self.worker_registry.machines[placement.machine].reconciled_tasks = None
+            self.worker_registry.machines[placement.machine].proof.reconciled_tasks = None
             self.dispatcher.enqueue_stop(placement)
 
     def _evict_reclaimed(self) -> None:
         for machine in self.worker_registry.machines.values():
-            if machine.reclaim_at is None or machine.decommission_reason is not None or not machine.has_confirmed_token:
+            if (
+                machine.reclaim_at is None
+                or machine.decommission_reason is not None
+                or not machine.proof.has_confirmed_token
+            ):
                 continue
             if not machine.placements:
                 self.autoscaler.decommission(machine, "to be taken back, and empty")
--- a/meadowcross/leadership/placement_writer.py
+++ b/meadowcross/leadership/placement_writer.py
@@ -20,7 +20,7 @@
 from meadowcross.store import messages as sm
 from meadowcross.store.group_commit import Write
 from meadowcross.store.token_bucket import RequestPriority
-from meadowcross.workers.registry import Machine
+from meadowcross.workers.machine import Machine
 
 log = get_logger("leadership")
 
@@ -93,7 +93,7 @@
     def on_machine_deleted(self, name: MachineId) -> None:
         """The cloud's delete of the machine answered 200."""
         machine = self.worker_registry.machines.get(name)
-        last_contact_at = machine.last_contact_at if machine is not None else None
+        last_contact_at = machine.contact.last_contact_at if machine is not None else None
         for placement in self.worker_registry.remove(name):
             job = self.job_table.jobs.get(placement.task.job)
             if job is not None:
--- a/meadowcross/leadership/reconciler.py
+++ b/meadowcross/leadership/reconciler.py
@@ -28,7 +28,7 @@
 from meadowcross.store.group_commit import Write
 from meadowcross.store.token_bucket import RequestPriority
 from meadowcross.workers import messages as wm
-from meadowcross.workers.registry import Machine
+from meadowcross.workers.machine import Machine
 
 log = get_logger("leadership")
 
@@ -49,7 +49,7 @@
             self._is_cloud_list_awaited = True
             for machine in self.worker_registry.machines.values():
                 # Who says nothing now is given up like anybody who falls silent, be it still booting.
-                machine.hinted_contact_at = self.now
+                machine.contact.hinted_contact_at = self.now
             for job in self.job_table.jobs.values():
                 # Above whatever was tried in the part that is lost.
                 job.attempts = [attempt + LOST_ATTEMPTS_MARGIN for attempt in job.attempts]
@@ -97,21 +97,21 @@
         """After a loss, tasks on a machine that no record tells of are somebody's: of a known job they are taken
         as placed, or done; of one that nobody knows they are let be, until its user comes or time is up."""
         assert self._recovery is not None
-        stale_tasks, exited = machine.stale_tasks, machine.exited_tasks
-        machine.orphaned_tasks, machine.stale_tasks, machine.exited_tasks = [], [], []
+        stale_tasks, exited = machine.reported.stale, machine.reported.exited
+        machine.reported.orphaned, machine.reported.stale, machine.reported.exited = [], [], []
         for task in (*stale_tasks, *exited):
             task_id = TaskId.parse(task.task)
             job = self.job_table.jobs.get(task_id.job)
             has_exited = task.state is wm.TaskState.EXITED
             if job is None and not self._has_ended(task_id.job) and self._recovery.is_unsettled():
-                machine.orphaned_tasks.append(task)
+                machine.reported.orphaned.append(task)
             elif job is None or task_id.number >= job.spec.tasks or not self._adopt_orphan(machine, job, task_id, task):
-                (machine.exited_tasks if has_exited else machine.stale_tasks).append(task)
+                (machine.reported.exited if has_exited else machine.reported.stale).append(task)
 
     def _detect_lost_records(self, machine: Machine) -> None:
         """Whatever runs was stored before it was started. A machine that has our token and shows an attempt that is
         beyond its record, or a job of which there is none, proves that records were lost."""
-        for task in (*machine.stale_tasks, *machine.exited_tasks):
+        for task in (*machine.reported.stale, *machine.reported.exited):
             task_id = TaskId.parse(task.task)
             job = self.job_table.jobs.get(task_id.job)
             if job is not None and (task_id.number >= job.spec.tasks or job.done_flags[task_id.number]):
@@ -128,7 +128,7 @@
                 and not self._has_ended(task_id.job)
             ):
                 self._queried_jobs.add(task_id.job)
-                machine.stale_tasks = [one for one in machine.stale_tasks if one is not task]
+                machine.reported.stale = [one for one in machine.reported.stale if one is not task]
                 Deferred.fromCoroutine(self._look_up_job(task_id.job, machine))
 
     async def _look_up_job(self, job: JobId, machine: Machine) -> None:
@@ -136,7 +136,7 @@
         try:
             if await self._store.get(jm.ended_key(job), RequestPriority.PLACEMENT) is not None:
                 self._known_ended.add(job)
-                machine.reconciled_tasks = None
+                machine.proof.reconciled_tasks = None
             elif not await self._store.find_changed_keys(
                 [sm.Condition(jm.open_key(job), Revision(0)), sm.Condition(jm.ended_key(job), Revision(0))],
                 RequestPriority.PLACEMENT,
@@ -155,12 +155,12 @@
             return
         progress = eras.progress
         for machine in self.worker_registry.machines.values():
-            remaining = [task for task in machine.orphaned_tasks if not self._has_ended(TaskId.parse(task.task).job)]
-            if len(remaining) < len(machine.orphaned_tasks):
+            remaining = [task for task in machine.reported.orphaned if not self._has_ended(TaskId.parse(task.task).job)]
+            if len(remaining) < len(machine.reported.orphaned):
                 # Cancelled meanwhile: its next report shows them as any other task without a record.
-                machine.orphaned_tasks, machine.reconciled_tasks = remaining, None
+                machine.reported.orphaned, machine.proof.reconciled_tasks = remaining, None
         task_counts = Counter(
-            TaskId.parse(t.task).job for m in self.worker_registry.machines.values() for t in m.orphaned_tasks
+            TaskId.parse(t.task).job for m in self.worker_registry.machines.values() for t in m.reported.orphaned
         )
         jobs = {*map(JobId, progress.proven_jobs), *task_counts}
         known_jobs = sorted(job for job in jobs if job not in self.job_table.jobs and not self._has_ended(job))[
--- a/meadowcross/leadership/scheduling_view.py
+++ b/meadowcross/leadership/scheduling_view.py
@@ -21,7 +21,8 @@
 from meadowcross.placement.preemption import Victim, mark_borrowed
 from meadowcross.workers.health import FailureTracker
 from meadowcross.workers.heartbeat_tracker import silence_window
-from meadowcross.workers.registry import Machine, WorkerRegistry
+from meadowcross.workers.machine import Machine
+from meadowcross.workers.registry import WorkerRegistry
 
 UNLIMITED = 1e15
 ALMOST_DONE_S: Seconds = 3.0
@@ -66,8 +67,8 @@
 
     def silence_s(self, machine: Machine) -> Seconds:
         """For how long a machine has said nothing while we listened."""
-        last_contact_at = machine.last_contact_at or machine.hinted_contact_at or self._resumed_at
-        return self._now - max(last_contact_at, self._resumed_at, min(machine.grace_until, self._now))
+        last_contact_at = machine.contact.last_contact_at or machine.contact.hinted_contact_at or self._resumed_at
+        return self._now - max(last_contact_at, self._resumed_at, min(machine.contact.grace_until, self._now))
 
     def _contact_cutoff(self) -> Instant:
         """Earlier than this is silence."""
@@ -80,12 +81,14 @@
         return self._contact_window_s
 
     def is_silent(self, machine: Machine) -> bool:
-        return machine.last_contact_at is None or machine.last_contact_at < self._contact_cutoff()
+        return machine.contact.last_contact_at is None or machine.contact.last_contact_at < self._contact_cutoff()
 
     def contact_check(self) -> Callable[[Machine], bool]:
         """Tells of each machine asked for whether it is not silent; for whoever asks of the whole fleet."""
         contact_cutoff = self._contact_cutoff()
-        return lambda machine: machine.last_contact_at is not None and machine.last_contact_at >= contact_cutoff
+        return lambda machine: (
+            machine.contact.last_contact_at is not None and machine.contact.last_contact_at >= contact_cutoff
+        )
 
     def measure_reach(self, best_peer_reach: int | None) -> Reachability:
         """How many of the machines in use reported to us lately; `peers` as in Reach."""
@@ -96,7 +99,9 @@
         ]
         contact_cutoff = self._contact_cutoff()
         return Reachability(
-            len(in_use), sum(1 for m in in_use if (m.last_heartbeat_at or -1.0) >= contact_cutoff), best_peer_reach
+            len(in_use),
+            sum(1 for m in in_use if (m.contact.last_heartbeat_at or -1.0) >= contact_cutoff),
+            best_peer_reach,
         )
 
     def is_schedulable(self, machine: Machine) -> bool:
@@ -104,18 +109,18 @@
 
     def _is_schedulable(self, machine: Machine, contact_cutoff: Instant) -> bool:
         return (
-            machine.has_confirmed_token
+            machine.proof.has_confirmed_token
             and machine.is_stored
             and machine.decommission_reason is None
             and not machine.is_draining
             and machine.machine_type is not None
             and machine.reclaim_at is None
-            and machine.unresponsive_since is None
-            and machine.last_contact_at is not None
-            and machine.last_contact_at >= contact_cutoff
+            and machine.contact.unresponsive_since is None
+            and machine.contact.last_contact_at is not None
+            and machine.contact.last_contact_at >= contact_cutoff
             # What only answers renews no lease, as no report of it arrives: once tasks were begun over and over on such
             # machines. Who leads anew waits for a report as long as for any other.
-            and (machine.last_heartbeat_at or machine.first_seen_at) >= contact_cutoff
+            and (machine.contact.last_heartbeat_at or machine.contact.first_seen_at) >= contact_cutoff
             and not self._health.is_quarantined(machine.id)
         )
 
@@ -131,11 +136,11 @@
         be offered in a moment. Left out of what is coming, each new machine had another
         rented beside it."""
         return (
-            not (machine.has_confirmed_token and machine.is_stored)
+            not (machine.proof.has_confirmed_token and machine.is_stored)
             and machine.reclaim_at is None
             and not machine.is_draining
-            and machine.last_contact_at is not None
-            and machine.last_contact_at >= contact_cutoff
+            and machine.contact.last_contact_at is not None
+            and machine.contact.last_contact_at >= contact_cutoff
         )
 
     def candidates(self) -> list[Candidate]:
@@ -157,11 +162,11 @@
             Candidate(
                 machine.id,
                 machine.kind,
-                machine.machine_type.cpus - machine.used_cpus,
-                machine.machine_type.gpus - machine.used_gpus,
-                machine.machine_type.memory_gb - machine.used_memory_gb,
-                machine.cached_images,
-                set(machine.pending_fetches),
+                machine.machine_type.cpus - machine.usage.cpus,
+                machine.machine_type.gpus - machine.usage.gpus,
+                machine.machine_type.memory_gb - machine.usage.memory_gb,
+                machine.images.cached,
+                set(machine.images.pending_fetches),
             )
             for machine in machines
             if machine.machine_type is not None and self._is_schedulable(machine, contact_cutoff)
@@ -318,7 +323,7 @@
 
     def cpu_utilization(self) -> dict[MachineId, float]:
         return {
-            m.id: m.used_cpus / m.machine_type.cpus
+            m.id: m.usage.cpus / m.machine_type.cpus
             for m in self._worker_registry.machines.values()
             if m.machine_type is not None
         }
--- a/meadowcross/leadership/state_loader.py
+++ b/meadowcross/leadership/state_loader.py
@@ -75,7 +75,7 @@
             # All nodes ended. If the store lost its last minutes meanwhile, a machine runs what no record tells of.
             self._unverified_machines = {m.id for m in self.worker_registry.machines.values() if m.address is not None}
             for name in self._unverified_machines:
-                self.worker_registry.machines[name].hinted_contact_at = self.now
+                self.worker_registry.machines[name].contact.hinted_contact_at = self.now
         log.info(
             "term %d: %d open jobs, %d machines, %d placements, %s, %s",
             self.token,
@@ -212,8 +212,8 @@
         for machine_id, session in hints.incarnations.items():
             machine = self.worker_registry.machines.get(machine_id)
             if machine is not None:
-                machine.hinted_incarnation = session
-                machine.hinted_contact_at = Instant(now - hints.silence_s.get(machine_id, 0.0))
+                machine.proof.hinted_incarnation = session
+                machine.contact.hinted_contact_at = Instant(now - hints.silence_s.get(machine_id, 0.0))
                 if (left := hints.eviction_in_s.get(machine_id)) is not None:
                     machine.reclaim_at = Instant(now + left)
         self.autoscaler.import_state(
@@ -231,7 +231,9 @@
         if not self.loaded or self._stopped:
             return None
         now = self.now
-        machines = [m for m in self.worker_registry.machines.values() if m.is_up or m.hinted_contact_at is not None]
+        machines = [
+            m for m in self.worker_registry.machines.values() if m.is_up or m.contact.hinted_contact_at is not None
+        ]
         boots, closed, pressed = self.autoscaler.export_state()
         blamed, pauses = self.health.export_hints(now)
         hints = Hints(
@@ -239,7 +241,7 @@
             self.token,
             0,
             "",
-            incarnations={m.id: m.heartbeat_version.incarnation or m.hinted_incarnation for m in machines},
+            incarnations={m.id: m.proof.heartbeat_version.incarnation or m.proof.hinted_incarnation for m in machines},
             silence_s={
                 m.id: round(self.scheduling_view.silence_s(m), 1) for m in machines if self.scheduling_view.is_silent(m)
             },
@@ -302,8 +304,8 @@
                 # Submitted again: what machines still have of it is its own.
                 job.attempts = [LOST_ATTEMPTS_MARGIN] * job.spec.tasks
                 for machine in self.worker_registry.machines.values():
-                    if any(TaskId.parse(task.task).job == job.id for task in machine.orphaned_tasks):
-                        machine.stale_tasks += machine.orphaned_tasks
+                    if any(TaskId.parse(task.task).job == job.id for task in machine.reported.orphaned):
+                        machine.reported.stale += machine.reported.orphaned
                         self._adopt_orphans(machine)
         self._on_job_version(job, mark, record.cancelled_at)
 
--- a/meadowcross/leadership/term_base.py
+++ b/meadowcross/leadership/term_base.py
@@ -49,7 +49,8 @@
 from meadowcross.workers import messages as wm
 from meadowcross.workers.dispatcher import CommandDispatcher
 from meadowcross.workers.health import FailureTracker
-from meadowcross.workers.registry import Machine, WorkerRegistry
+from meadowcross.workers.machine import Machine
+from meadowcross.workers.registry import WorkerRegistry
 
 if TYPE_CHECKING:
     from meadowcross.estimates.finish import Ends
--- a/meadowcross/relay/pool.py
+++ b/meadowcross/relay/pool.py
@@ -22,7 +22,8 @@
 from meadowcross.store.token_bucket import TokenBucket
 from meadowcross.workers.dispatcher import COMMAND_TIMEOUT_S, SendCommands
 from meadowcross.workers.heartbeat_tracker import silence_window
-from meadowcross.workers.registry import Machine, WorkerRegistry
+from meadowcross.workers.machine import Machine
+from meadowcross.workers.registry import WorkerRegistry
 
 log = get_logger("relay")
 
@@ -157,7 +158,7 @@
         for machine_id in lost:
             machine = self._registry.machines.get(machine_id) if self._registry is not None else None
             if machine is not None:
-                machine.grace_until = Instant(self.now + self._move_s)
+                machine.contact.grace_until = Instant(self.now + self._move_s)
 
     def _extend_grace(self) -> None:
         """Where most workers of a relay are silent at once, it is the relay that they can't reach, or that we don't
@@ -170,12 +171,13 @@
             machines = [
                 machine
                 for name in self.assignment.workers_of(node)
-                if (machine := self._registry.machines.get(name)) is not None and machine.last_contact_at is not None
+                if (machine := self._registry.machines.get(name)) is not None
+                and machine.contact.last_contact_at is not None
             ]
-            silent = [machine for machine in machines if (machine.last_contact_at or 0.0) < silent_since]
+            silent = [machine for machine in machines if (machine.contact.last_contact_at or 0.0) < silent_since]
             grace_s = self._move_s if len(silent) * 2 > len(machines) else self._late_s
             for machine in silent:
-                machine.grace_until = Instant((machine.last_contact_at or 0.0) + grace_s)
+                machine.contact.grace_until = Instant((machine.contact.last_contact_at or 0.0) + grace_s)
 
     # What relays say
 
--- a/meadowcross/workers/dispatcher.py
+++ b/meadowcross/workers/dispatcher.py
@@ -14,7 +14,8 @@
 from meadowcross.common.types import FencingToken, Instant, MachineId, Seconds, TaskId
 from meadowcross.jobs.job_table import JobTable, Placement, PlacementPhase
 from meadowcross.workers import messages as m
-from meadowcross.workers.registry import Machine, TaskAttempt, WorkerRegistry
+from meadowcross.workers.machine import Machine, TaskAttempt
+from meadowcross.workers.registry import WorkerRegistry
 
 log = get_logger("workers")
 
@@ -32,10 +33,12 @@
         for placement in machine.placements.values()
         if placement.stop_requested_at is not None and placement.may_have_started
     ]
-    for stale_task in machine.stale_tasks:
+    for stale_task in machine.reported.stale:
         log.info("task %s attempt %d on %s has no record: stopped", stale_task.task, stale_task.attempt, machine.id)
         commands.append(m.Command("stop", stale_task.task, stale_task.attempt, 0.0))
-    commands += [m.Command("reap", task.task, task.attempt) for task in machine.exited_tasks if _may_reap(task, book)]
+    commands += [
+        m.Command("reap", task.task, task.attempt) for task in machine.reported.exited if _may_reap(task, book)
+    ]
     return commands
 
 
@@ -92,7 +95,7 @@
 
     def enqueue_stop(self, placement: Placement) -> None:
         placement.stop_sent_at = Instant(self._clock.seconds())
-        self._stops.setdefault(placement.machine, {})[placement.task, placement.attempt] = placement
+        self._stops.setdefault(placement.machine, {})[TaskAttempt(placement.task, placement.attempt)] = placement
         self._schedule(placement.machine)
 
     def probe(self, machine: MachineId) -> None:
@@ -114,9 +117,11 @@
             # Who has answered or reported meanwhile needs no greeting any more, unless it is reports that come and
             # nothing else that arrives.
             has_answered = (
-                machine is not None and machine.has_confirmed_token and (machine.last_status_at or 0.0) > requested_at
+                machine is not None
+                and machine.proof.has_confirmed_token
+                and (machine.contact.last_status_at or 0.0) > requested_at
             )
-            if machine is not None and (machine.unresponsive_since is not None or not has_answered):
+            if machine is not None and (machine.contact.unresponsive_since is not None or not has_answered):
                 self._probe_due.add(machine_id)
                 self._schedule(machine_id)
                 probe_count += 1
@@ -153,7 +158,7 @@
         was well again, until a leader came who had not sent it."""
         return [
             placement
-            for (task, attempt), start_incarnation in machine.open_starts.items()
+            for (task, attempt), start_incarnation in machine.proof.open_starts.items()
             if start_incarnation == incarnation
             and (placement := machine.placements.get(task)) is not None
             and placement.attempt == attempt
@@ -162,7 +167,7 @@
         ]
 
     async def _send(self, machine: Machine, starts: list[Placement], stops: list[Placement]) -> None:
-        incarnation = machine.heartbeat_version.incarnation or machine.hinted_incarnation or 1
+        incarnation = machine.proof.heartbeat_version.incarnation or machine.proof.hinted_incarnation or 1
         ready = []
         for placement in starts:
             if machine.address is not None and machine.decommission_reason is None and self._may_start(placement):
@@ -176,7 +181,7 @@
         commands += [m.Command("stop", str(p.task), p.attempt, p.grace_s) for p in stops]
         if machine.address is None:
             return
-        sent_starts: list[TaskAttempt] = [(p.task, p.attempt) for p in ready]
+        sent_starts: list[TaskAttempt] = [TaskAttempt(p.task, p.attempt) for p in ready]
         for placement in ready:
             placement.phase = PlacementPhase.SENT
         self._registry.record_starts_sent(machine, incarnation, sent_starts)
@@ -185,7 +190,7 @@
             reply = await self._send_commands(machine, body)
         except ConnectionFailedError as error:
             log.debug("%s not reached: %s", machine.id, error)
-            machine.unresponsive_since = machine.unresponsive_since or Instant(self._clock.seconds())
+            machine.contact.unresponsive_since = machine.contact.unresponsive_since or Instant(self._clock.seconds())
             self._registry.close_starts(machine, sent_starts)
             for placement in ready:
                 placement.phase = PlacementPhase.STORED
@@ -194,7 +199,7 @@
         except NoResponseError as error:
             # The starts stay open: they may be carried out late, so their tasks stay
             # pinned to this machine until its session or our token is over there.
-            machine.unresponsive_since = machine.unresponsive_since or Instant(self._clock.seconds())
+            machine.contact.unresponsive_since = machine.contact.unresponsive_since or Instant(self._clock.seconds())
             log.info("%s gave no answer to %d starts: %s", machine.id, len(sent_starts), error)
             return
         if reply.status not in (200, 409):
@@ -205,9 +210,9 @@
         except msgspec.DecodeError as error:
             log.error("%s answered what can't be read: %s", machine.id, error)
             return
-        machine.unresponsive_since = None
+        machine.contact.unresponsive_since = None
         # 200: carried out; 409: certainly not. Either way no start is open any more.
         self._registry.close_starts(machine, sent_starts)
         self._on_status(status)
-        if reply.status == 409 and machine.heartbeat_version.incarnation != incarnation:
+        if reply.status == 409 and machine.proof.heartbeat_version.incarnation != incarnation:
             self.probe(machine.id)
--- a/meadowcross/workers/eviction.py
+++ b/meadowcross/workers/eviction.py
@@ -11,7 +11,7 @@
 from meadowcross.estimates.samples import ran
 from meadowcross.jobs.job_table import Job, JobTable, Placement, PlacementPhase
 from meadowcross.jobs.messages import checkpoint_grace_s
-from meadowcross.workers.registry import Machine
+from meadowcross.workers.machine import Machine
 
 OVERRUN_FACTOR = 1.5
 STOP_RETRY_S: Seconds = 2.0
--- a/tests/test_addition.py
+++ b/tests/test_addition.py
@@ -43,7 +43,9 @@
     assert old.stopped, "a report with the next leader's token ends it, though neither store nor peers can tell"
     assert ready(node) == 503
     new = world.nodes[world.leader()].term
-    assert sum(m.last_heartbeat_at is not None for m in new.worker_registry.machines.values()) == len(world.machines)
+    assert sum(m.contact.last_heartbeat_at is not None for m in new.worker_registry.machines.values()) == len(
+        world.machines
+    )
     world.simulation.run(52.0)
     assert ready(node) == 200, "it comes back by itself"
     assert world.play()["broken"] == []
@@ -119,7 +121,7 @@
 
     def tick(self):
         for machine in list(self.worker_registry.machines.values()):
-            away = machine.unresponsive_since is not None or self.scheduling_view.is_silent(machine)
+            away = machine.contact.unresponsive_since is not None or self.scheduling_view.is_silent(machine)
             for placement in list(machine.placements.values()) if away and self.loaded else []:
                 self.worker_registry.unassign(placement, self.job_table.jobs[placement.task.job].spec, self.now)
                 self.job_table.release(placement)
@@ -135,7 +137,7 @@
     def taken(self, report):
         machine = self.worker_registry.machines.get(report.machine)
         if machine is not None and report.token >= self.token:
-            machine.heartbeat_version = machine.heartbeat_version._replace(incarnation=0, sequence=0)
+            machine.proof.heartbeat_version = machine.proof.heartbeat_version._replace(incarnation=0, sequence=0)
         return take(self, report)
 
     monkeypatch.setattr(LeaderTerm, "_apply_heartbeat", taken)
--- a/tests/test_cancels.py
+++ b/tests/test_cancels.py
@@ -193,7 +193,9 @@
     def look():
         old = lab.nodes[gap.leaders[0]].term
         assert not old.stopped
-        gap.unreached = sum(m.last_heartbeat_at > 1053.0 for m in old.worker_registry.machines.values() if m.is_up)
+        gap.unreached = sum(
+            m.contact.last_heartbeat_at > 1053.0 for m in old.worker_registry.machines.values() if m.is_up
+        )
         judge = lab.judge
         on = [seen for name, seen in judge.jobs.items() if judge.is_on(name) and (seen.cancel_asked or 0.0) > REFUSED_S]
         gap.held = [seen.cancel_told is not None for seen in on]
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -10,7 +10,7 @@
 from meadowcross.jobs.job_table import JobTable, PlacementPhase
 from meadowcross.jobs.messages import JobRecord, JobSpec
 from meadowcross.workers.eviction import overdue_cancellations, plan_drain_evictions, plan_reclaim_evictions
-from meadowcross.workers.registry import Machine
+from meadowcross.workers.machine import Machine
 from tests.conftest import job
 
 NOW = Instant(100.0)
--- a/tests/test_hunt.py
+++ b/tests/test_hunt.py
@@ -87,7 +87,7 @@
         placed = [
             p
             for m in term.worker_registry.machines.values()
-            if not m.has_confirmed_token or m.unresponsive_since
+            if not m.proof.has_confirmed_token or m.contact.unresponsive_since
             for p in m.placements
         ]
         meeting.away.append(len(placed))
@@ -402,11 +402,11 @@
     offerable = SchedulingView._is_schedulable
 
     def offered(self, machine, since):
-        reported, machine.last_heartbeat_at = machine.last_heartbeat_at, self._now
+        reported, machine.contact.last_heartbeat_at = machine.contact.last_heartbeat_at, self._now
         try:
             return offerable(self, machine, since)
         finally:
-            machine.last_heartbeat_at = reported
+            machine.contact.last_heartbeat_at = reported
 
     monkeypatch.setattr(SchedulingView, "_is_schedulable", offered)
 
--- a/tests/test_incremental.py
+++ b/tests/test_incremental.py
@@ -23,7 +23,8 @@
 from meadowcross.leadership.scheduling_view import SchedulingView
 from meadowcross.placement.engine import place
 from meadowcross.workers.health import FailureTracker
-from meadowcross.workers.registry import Machine, WorkerRegistry
+from meadowcross.workers.machine import Machine
+from meadowcross.workers.registry import WorkerRegistry
 from simulation.standins import TYPES
 from tests.conftest import SETTINGS, job
 
@@ -62,8 +63,8 @@
     def a_machine_comes(self, kind):
         self.number += 1
         machine = Machine(MachineId(f"i-{self.number:06d}"), MachineKind(kind, "east", True), KINDS.get(kind), self.now)
-        machine.has_confirmed_token = machine.is_stored = True
-        machine.last_contact_at = self.now
+        machine.proof.has_confirmed_token = machine.is_stored = True
+        machine.contact.last_contact_at = self.now
         self.roster.add(machine)
 
     @rule(which=st.integers(0, 50))
@@ -113,7 +114,7 @@
                 self.book.release(placement)
             self.ends.forget(machine.id)
         elif what == "silent":
-            machine.last_contact_at = Instant(0.0)
+            machine.contact.last_contact_at = Instant(0.0)
         elif what == "draining":
             machine.is_draining = not machine.is_draining
         elif what == "condemned":
@@ -146,8 +147,8 @@
     def time_passes(self, seconds):
         self.clock.advance(seconds)
         for machine in self.roster.machines.values():
-            if machine.last_contact_at:
-                machine.last_contact_at = self.now
+            if machine.contact.last_contact_at:
+                machine.contact.last_contact_at = self.now
 
     @invariant()
     def the_pieces_agree_with_the_whole(self):
@@ -159,7 +160,7 @@
         free = {
             m.id
             for m in self.roster.machines.values()
-            if m.machine_type is not None and m.machine_type.cpus - m.used_cpus > EPSILON
+            if m.machine_type is not None and m.machine_type.cpus - m.usage.cpus > EPSILON
         }
         assert set(self.roster.machines_with_free_cpu) == free
         offered = {o.machine: o for o in self.view.candidates()}
@@ -179,7 +180,7 @@
             told = list(self.ends.completions_before(machine, before, self.now))
             assert all(spec in running for spec in told)
             if self.now - self.ends._cache[machine.id][1] < FORECAST_MAX_AGE_S:
-                assert sum(s.cpus for s in told) <= machine.used_cpus + EPSILON
+                assert sum(s.cpus for s in told) <= machine.usage.cpus + EPSILON
 
 
 Fleet.TestCase.settings = settings(
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -192,7 +192,7 @@
 
     def look():
         term = meeting.lab.nodes[meeting.lab.leader()].term
-        machines = [m for m in term.worker_registry.machines.values() if not m.has_confirmed_token]
+        machines = [m for m in term.worker_registry.machines.values() if not m.proof.has_confirmed_token]
         meeting.pinned.append(sum(len(m.placements) for m in machines))
 
     for at in (40.0, 55.0):
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -65,7 +65,9 @@
         worker.session, worker.seq = session, 1000 + seq - 1
         world.report(worker)
         heard.append(
-            term.worker_registry.machines[name].last_heartbeat_at if name in term.worker_registry.machines else None
+            term.worker_registry.machines[name].contact.last_heartbeat_at
+            if name in term.worker_registry.machines
+            else None
         )
     assert (visitors.count() == 1) is counts
     assert (heard[-1] == term.now) is counts
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -18,7 +18,8 @@
 from meadowcross.relay.pool import GRANT_DURATION_S, RelayPool
 from meadowcross.relay.relay import FORWARD_TIMEOUT_S, Relay
 from meadowcross.workers import messages as wm
-from meadowcross.workers.registry import Machine, WorkerRegistry
+from meadowcross.workers.machine import Machine
+from meadowcross.workers.registry import WorkerRegistry
 
 LEADER, TOKEN = NodeName("n0"), FencingToken(7)
 FETCHING = wm.TaskReport("wk-000001/0", 1, wm.TaskState.FETCHING)
@@ -272,14 +273,16 @@
 def test_a_renewal_renews_what_is_heard_and_takes_nothing_away(token, session, whole, seq, heard, wanted):
     leader = LeaderWithRelays()
     machine = leader.add_machine()
-    version, before = machine.heartbeat_version, machine.last_contact_at
+    version, before = machine.proof.heartbeat_version, machine.contact.last_contact_at
     leader.clock.advance(3.0)
     leader.link.sent.clear()
     renewal = m.HeartbeatRenewal(machine.id, session, whole, seq)
     for _ in range(2):
         leader.pool.apply_renewals(m.HeartbeatRenewals(NodeName("n1"), token, [renewal]))
-    assert (machine.last_contact_at > before) is heard and machine.last_status_at == before, "whole reports alone tell"
-    assert machine.heartbeat_version == version
+    assert (machine.contact.last_contact_at > before) is heard and machine.contact.last_status_at == before, (
+        "whole reports alone tell"
+    )
+    assert machine.proof.heartbeat_version == version
     asked = [message for _, message in leader.link.sent if isinstance(message, m.ResendRequest)]
     assert bool(asked) is wanted
 
@@ -287,7 +290,7 @@
 def test_machines_that_must_be_looked_at_again_are_asked_for_whole():
     leader = LeaderWithRelays()
     machine = leader.add_machine()
-    machine.reconciled_tasks = None
+    machine.proof.reconciled_tasks = None
     leader.link.sent.clear()
     leader.pool.apply_renewals(m.HeartbeatRenewals(NodeName("n1"), TOKEN, [m.HeartbeatRenewal(machine.id, 1, 5, 6)]))
     assert leader.link.sent == [(NodeName("n1"), m.ResendRequest(TOKEN, [machine.id]))]
@@ -299,7 +302,7 @@
     relay = leader.pool.assign_relay(machine, None)
     assert relay == "n1", "the worker's zone first"
     leader.pool.on_peer_lost(relay)
-    assert machine.grace_until == leader.clock.seconds() + 1.25 * 4.0 + 4.0 + 1.0
+    assert machine.contact.grace_until == leader.clock.seconds() + 1.25 * 4.0 + 4.0 + 1.0
     assert leader.pool.assignment.relay_of(machine.id) is None
 
 
@@ -466,10 +469,10 @@
     first, *others = (leader.add_machine(f"i-{number:06d}") for number in range(4))
     for machine in (first, *others):
         leader.pool.assignment.assign(machine.id, NodeName("n1"))
-    heard = first.last_contact_at
+    heard = first.contact.last_contact_at
     leader.clock.advance(7.0)
     for machine in others:
-        machine.last_contact_at = leader.clock.seconds()
+        machine.contact.last_contact_at = leader.clock.seconds()
     leader.pool.renew_grants()
-    assert first.grace_until == pytest.approx(heard + 1.25 * 4.0 + 4.0 + 1.0 + 1.0 - 8.0)
-    assert all(machine.grace_until == 0.0 for machine in others)
+    assert first.contact.grace_until == pytest.approx(heard + 1.25 * 4.0 + 4.0 + 1.0 + 1.0 - 8.0)
+    assert all(machine.contact.grace_until == 0.0 for machine in others)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -8,8 +8,9 @@
 from meadowcross.common.types import Attempt, FencingToken, Instant, JobId, MachineId, MachineKind, TaskId
 from meadowcross.jobs.job_table import Placement, PlacementPhase
 from meadowcross.jobs.messages import JobSpec
+from meadowcross.workers.machine import Machine
 from meadowcross.workers.messages import Heartbeat, TaskReport, TaskState
-from meadowcross.workers.registry import Machine, StaleTokenError, TaskChange, WorkerRegistry
+from meadowcross.workers.registry import StaleTokenError, TaskChange, WorkerRegistry
 from tests.conftest import job
 
 TASK = TaskId(JobId("wk-000001"), 0)
@@ -18,7 +19,7 @@
 def make_registry(phase=PlacementPhase.SENT, open_start=False, session=1, seq=5):
     roster = WorkerRegistry(FencingToken(7))
     machine = roster.add(Machine(MachineId("i-1"), MachineKind("small", "east", True), None, Instant(0.0)))
-    machine.heartbeat_version = machine.heartbeat_version._replace(incarnation=session, sequence=seq)
+    machine.proof.heartbeat_version = machine.proof.heartbeat_version._replace(incarnation=session, sequence=seq)
     placement = Placement(TASK, Attempt(2), machine.id, phase, Instant(0.0))
     machine.placements[TASK] = placement
     if open_start:
@@ -80,12 +81,12 @@
     roster.apply_heartbeat(
         machine, make_heartbeat(tasks=[make_task_report(TaskState.EXITED, why="done")]), Instant(1.0)
     )
-    assert machine.exited_tasks == []
+    assert machine.reported.exited == []
     roster.close_starts(machine, [(TASK, Attempt(2))])
     roster.apply_heartbeat(
         machine, make_heartbeat(seq=7, tasks=[make_task_report(TaskState.EXITED, why="done")]), Instant(2.0)
     )
-    assert len(machine.exited_tasks) == 1
+    assert len(machine.reported.exited) == 1
 
 
 @pytest.mark.parametrize("change", ["start", "attach", "session", "close"])
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -88,7 +88,7 @@
     world.pass_time(2.0)
     machine = term.worker_registry.machines[name]
     assert (
-        machine.unresponsive_since is not None
+        machine.contact.unresponsive_since is not None
         and not term.scheduling_view.is_schedulable(machine)
         and machine.decommission_reason is None
     )
@@ -97,7 +97,7 @@
     assert term.scheduling_view.is_schedulable(machine), "taken back when answers arrive"
     world.net.hosts.pop(worker.machine["addr"])
     term.autoscaler._host.dispatcher.probe(name)
-    machine.unresponsive_since = term.now
+    machine.contact.unresponsive_since = term.now
     world.pass_time(30.0, 0.25)
     assert name in world.cloud.deleted
 
@@ -111,7 +111,7 @@
     assert world.running() == ["wk-000001/0"]
     (worker,) = (w for w in world.workers.values() if w.tasks)
     machine = term.worker_registry.machines[worker.machine["id"]]
-    assert machine.open_starts, "the first request may still arrive"
+    assert machine.proof.open_starts, "the first request may still arrive"
     for key in list(worker.tasks):
         worker.end(key)
     world.pass_time(3.0)
--- a/tests/test_term.py
+++ b/tests/test_term.py
@@ -366,7 +366,7 @@
         greets.append(sum("/commands" in path for _, path, _ in world.net.calls[before:]))
     assert world.term is not first and sum(greets) >= 100 and max(greets) <= 32
     # The machines are silent but for their answers, which confirm them all.
-    assert all(machine.has_confirmed_token for machine in world.term.worker_registry.machines.values())
+    assert all(machine.proof.has_confirmed_token for machine in world.term.worker_registry.machines.values())
 
 
 @pytest.mark.parametrize("breed", ["batch", "group", "daemon"])
