--- a/meadowcross/autoscaling/autoscaler.py
+++ b/meadowcross/autoscaling/autoscaler.py
@@ -40,7 +40,7 @@
 from meadowcross.jobs.job_table import JobTable, Placement
 from meadowcross.jobs.messages import JobSpec
 from meadowcross.jobs.objectives import may_wait_for_cheaper_capacity
-from meadowcross.placement.engine import PendingJob, QuotaHeadroom, is_kind_allowed, queue_order
+from meadowcross.placement.model import PendingJob, QuotaHeadroom, is_kind_allowed, queue_order
 from meadowcross.workers.dispatcher import CommandDispatcher
 from meadowcross.workers.eviction import plan_drain_evictions
 from meadowcross.workers.machine import Machine
--- a/meadowcross/autoscaling/sizing.py
+++ b/meadowcross/autoscaling/sizing.py
@@ -13,7 +13,7 @@
 from meadowcross.autoscaling.messages import MachineType
 from meadowcross.common.types import EPSILON, MachineId, MachineKind, Seconds
 from meadowcross.jobs.messages import JobSpec
-from meadowcross.placement.engine import TaskShape, count_slots, is_kind_allowed, task_shape
+from meadowcross.placement.model import TaskShape, count_slots, is_kind_allowed, task_shape
 
 MIN_CHARGE_S: Seconds = 60.0
 """The protocol charges a deleted machine for at least this long."""
--- a/meadowcross/leadership/completion_forecaster.py
+++ b/meadowcross/leadership/completion_forecaster.py
@@ -22,7 +22,7 @@
 from meadowcross.jobs.job_table import Job, JobTable, PlacementPhase
 from meadowcross.jobs.messages import JobKind
 from meadowcross.leadership.scheduling_view import SchedulingView
-from meadowcross.placement.engine import count_slots, is_kind_allowed, queue_order
+from meadowcross.placement.model import count_slots, is_kind_allowed, queue_order
 from meadowcross.workers.registry import WorkerRegistry
 
 log = get_logger("estimates")
--- a/meadowcross/leadership/scheduling_view.py
+++ b/meadowcross/leadership/scheduling_view.py
@@ -17,8 +17,9 @@
 from meadowcross.jobs.objectives import ServiceLevelObjectives, slack
 from meadowcross.leadership.reachability import Reachability
 from meadowcross.placement.descheduler import ServiceReplica
-from meadowcross.placement.engine import SLOW_FETCH_S, Candidate, PendingJob, QuotaHeadroom, has_topology_constraints
-from meadowcross.placement.preemption import Victim, mark_borrowed
+from meadowcross.placement.model import Candidate, PendingJob, QuotaHeadroom, has_topology_constraints
+from meadowcross.placement.scoring import SLOW_FETCH_S
+from meadowcross.placement.victims import Victim, mark_borrowed
 from meadowcross.workers.health import FailureTracker
 from meadowcross.workers.heartbeat_tracker import silence_window
 from meadowcross.workers.machine import Machine
--- a/meadowcross/leadership/term.py
+++ b/meadowcross/leadership/term.py
@@ -19,7 +19,8 @@
 from meadowcross.leadership.reconciler import Reconciler
 from meadowcross.leadership.state_loader import StateLoader
 from meadowcross.placement.descheduler import select_replicas_to_move
-from meadowcross.placement.engine import Decision, place
+from meadowcross.placement.engine import place
+from meadowcross.placement.model import Decision
 
 log = get_logger("leadership")
 
@@ -128,15 +129,7 @@
             self._apply_decisions(decisions)
             placed_counts = {decision.job_id: len(decision.machines) for decision in decisions}
             for job, victims in self._preemption.plan(
-                pending_jobs,
-                placed_counts,
-                self.scheduling_view.all_candidates,
-                self.scheduling_view.candidates_of,
-                headroom,
-                self.scheduling_view.victims,
-                self.scheduling_view.may_preempt,
-                self._is_current_placement,
-                started_at,
+                pending_jobs, placed_counts, headroom, self.scheduling_view, self._is_current_placement, started_at
             ):
                 log.info("job %s: %d tasks give way", job, len(victims))
                 for victim in victims:
--- /dev/null
+++ b/meadowcross/placement/scoring.py
@@ -0,0 +1,66 @@
+"""The score of a machine for a task (docs/design.md; the paper's Algorithm 1).
+
+The score is gamma times the resource term plus delta times the network term. The paper leaves the
+denominator of its percentage gap open; here it is the machine's free amount, from which the gap is taken.
+"""
+
+from __future__ import annotations
+
+from meadowcross.common.settings import OperatorSettings
+from meadowcross.common.types import EPSILON, MachineId, Seconds
+from meadowcross.jobs.messages import JobKind, JobSpec
+from meadowcross.placement.model import Candidate, PendingJob, has_sibling_traffic
+
+SLOW_FETCH_S: Seconds = 5.0
+"""A longer image fetch decides when the task starts; with a shorter one the score alone decides the machine."""
+
+
+def resource_term(spec: JobSpec, free_cpus: float, free_memory_gb: float, weights: OperatorSettings) -> float:
+    """Return alpha times the CPU gap plus beta times the memory gap, both in percent of the free amount."""
+    cpu_gap = (free_cpus - spec.cpus) / free_cpus * 100 if free_cpus > EPSILON else 0.0
+    memory_gap = (free_memory_gb - spec.memory_gb) / free_memory_gb * 100 if free_memory_gb > EPSILON else 0.0
+    return weights.alpha * cpu_gap + weights.beta * memory_gap
+
+
+def network_term(
+    machine: MachineId, zone: str, siblings: dict[MachineId, tuple[str, int]], weights: OperatorSettings
+) -> float:
+    """Return minus the sum of traffic times network cost to the siblings' machines."""
+    cost = 0.0
+    for other, (other_zone, count) in siblings.items():
+        if other == machine:
+            cost += count * weights.cost_same_machine
+        elif other_zone == zone:
+            cost += count * weights.cost_same_zone
+        else:
+            cost += count * weights.cost_across_zones
+    return -cost
+
+
+def score(
+    spec: JobSpec, candidate: Candidate, siblings: dict[MachineId, tuple[str, int]], weights: OperatorSettings
+) -> float:
+    """Return how well the machine suits one more task of the job; the highest score takes it."""
+    resources = resource_term(spec, candidate.free_cpus, candidate.free_memory_gb, weights)
+    network = 0.0
+    if has_sibling_traffic(spec):
+        network = network_term(candidate.machine, candidate.kind.zone, siblings, weights)
+    return weights.gamma * resources + weights.delta * network
+
+
+def fetch_tier(pending_job: PendingJob, candidate: Candidate) -> int:
+    """Return how soon the task's image is on the machine; machines of a lower tier are chosen before the score counts.
+
+    Fetches on one machine share its rate, so that two images fetched there make both late: a machine that
+    fetches another image is the last choice. An array joins a fetch under way, one for many tasks; a service's
+    replica, which must find its image elsewhere when its machine is lost, prefers to begin a fetch of its own.
+    """
+    if pending_job.spec.image in candidate.cached_images:
+        return 0
+    if pending_job.image_fetch_s < SLOW_FETCH_S:
+        return 1
+    if not candidate.fetching_images:
+        return 1 if pending_job.spec.kind is JobKind.SERVICE else 2
+    if pending_job.spec.image in candidate.fetching_images:
+        return 2 if pending_job.spec.kind is JobKind.SERVICE else 1
+    return 3
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -11,17 +11,10 @@
 from meadowcross.common.types import JobId, MachineId, MachineKind
 from meadowcross.jobs.messages import JobSpec
 from meadowcross.placement.descheduler import ServiceReplica, select_replicas_to_move
-from meadowcross.placement.engine import (
-    Candidate,
-    PendingJob,
-    QuotaHeadroom,
-    Reservation,
-    network_term,
-    place,
-    resource_term,
-    score,
-)
-from meadowcross.placement.preemption import Victim, select_victims, select_victims_constrained
+from meadowcross.placement.engine import place
+from meadowcross.placement.model import Candidate, PendingJob, QuotaHeadroom, Reservation
+from meadowcross.placement.scoring import network_term, resource_term, score
+from meadowcross.placement.victims import Victim, select_victims, select_victims_constrained
 from tests.conftest import job
 
 WEIGHTS = OperatorSettings()
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -9,7 +9,8 @@
 from meadowcross.common.settings import OperatorSettings
 from meadowcross.common.types import Instant, MachineId
 from meadowcross.placement.engine import place
-from meadowcross.placement.preemption import PreemptionPlanner, Victim, is_urgent, mark_borrowed
+from meadowcross.placement.preemption import PreemptionPlanner, is_urgent
+from meadowcross.placement.victims import Victim, mark_borrowed
 from tests.test_engine import offer, rooms, want
 
 
@@ -17,6 +18,29 @@
     return Victim(key, MachineId(machine), rank, cpus, 0.0, 2.0, loss, team, borrowed, save_s)
 
 
+class Snapshot:
+    """What the planner is shown: the same machines and victims whoever asks."""
+
+    def __init__(self, machines, running, may_preempt=True):
+        self._machines, self._running, self._may_preempt = machines, running, may_preempt
+
+    def all_candidates(self):
+        return self._machines
+
+    def candidates_of(self, victims):
+        return self._machines
+
+    def victims(self, rank, guaranteed):
+        return self._running
+
+    def may_preempt(self, pending_job):
+        return self._may_preempt
+
+
+def plan(planner, pending_job, snapshot, placed_counts=None, is_still_placed=lambda key: True, at=1.0):
+    return planner.plan([pending_job], placed_counts or {}, rooms(), snapshot, is_still_placed, Instant(at))
+
+
 HURRY = [
     ("slack to spare", 100.0, {}, inf, False),
     ("slack within the estimates' error", 19.0, {}, inf, True),
@@ -49,8 +73,7 @@
     waiting.expected_run_s = 20.0
     victims = [victim(i, "big") for i in range(running)]
     offers = [offer("big", cpus=0.0)]
-    seen = (lambda: offers, lambda _: offers)
-    chosen = giving.plan([waiting], {}, *seen, rooms(), lambda *_: victims, bool, lambda key: True, Instant(1.0))
+    chosen = plan(giving, waiting, Snapshot(offers, victims))
     assert [len(group) for _, group in chosen] == [len(stopped)] * bool(stopped)
     assert set(giving.reservations) == held
     low = want(id="wk-000009", heads=1, rank=3)
@@ -71,9 +94,8 @@
     there = {"a"}
 
     def choose(at, key):
-        seen = (lambda: offers, lambda _: offers)
-        asked = there.__contains__
-        chosen = giving.plan([waiting], {}, *seen, rooms(), lambda *_: [victim(key)], bool, asked, Instant(at))
+        snapshot = Snapshot(offers, [victim(key)])
+        chosen = plan(giving, waiting, snapshot, is_still_placed=there.__contains__, at=at)
         return [v.task_key for _, victims in chosen for v in victims]
 
     assert choose(10.0, "a") == ["a"]
@@ -96,9 +118,7 @@
     assert [c.machines for c in choices] == [["warm"], ["cold"]], "nobody else has to wait for warm room"
     giving = PreemptionPlanner(OperatorSettings())
     victims = [victim("w", "warm", loss=9.0), victim("c", "cold-too", loss=0.0)]
-    seen = (lambda: offers, lambda _: offers)
-    found = {prompt.job_id: 1}
-    chosen = giving.plan([prompt], found, *seen, rooms(), lambda *_: victims, bool, lambda key: True, Instant(1.0))
+    chosen = plan(giving, prompt, Snapshot(offers, victims), placed_counts={prompt.job_id: 1})
     assert [v.task_key for _, group in chosen for v in group] == ["w"]
 
 
@@ -122,8 +142,7 @@
     waiting.expected_run_s, waiting.guaranteed_tasks = 30.0, guaranteed
     running = victim(**{"team": "guest", "borrowed": True, **changes})
     offers = [offer("m", cpus=0.0)]
-    seen = (lambda: offers, lambda _: offers)
-    chosen = giving.plan([waiting], {}, *seen, rooms(), lambda *_: [running], bool, lambda key: True, Instant(1.0))
+    chosen = plan(giving, waiting, Snapshot(offers, [running]))
     assert [v.grace_s for _, group in chosen for v in group] == graces
 
 
@@ -146,17 +165,7 @@
         for name, cpus in zip(names, free, strict=True)
     ]
     giving = PreemptionPlanner(OperatorSettings())
-    assert not giving.plan(
-        [asked],
-        {},
-        lambda: offers,
-        lambda there: offers,
-        rooms(),
-        lambda rank, guaranteed: [],
-        lambda w: False,
-        lambda key: True,
-        Instant(1.0),
-    )
+    assert not plan(giving, asked, Snapshot(offers, [], may_preempt=False))
     assert set(giving.reservations) == held
     urgent = want(id="wk-000009", heads=9, rank=0, cpus=1.0, memoryGb=0.0)
     (choice,) = place(offers, [urgent, asked], rooms(), OperatorSettings(), giving.reservations)
@@ -178,17 +187,7 @@
     assert place(offers, [asked], rooms(), OperatorSettings()) == []
     giving = PreemptionPlanner(OperatorSettings())
     victims = [victim("cheap", "cold", loss=0.0), victim("there", "warm", loss=9.0)]
-    chosen = giving.plan(
-        [asked],
-        {},
-        lambda: offers,
-        lambda there: offers,
-        rooms(),
-        lambda rank, guaranteed: victims,
-        bool,
-        lambda key: True,
-        Instant(1.0),
-    )
+    chosen = plan(giving, asked, Snapshot(offers, victims))
     assert [v.task_key for _, gone in chosen for v in gone] == ["there"] and set(giving.reservations) == {"warm"}
     asked.requires_cached_image = False
     assert [choice.machines for choice in place(offers, [asked], rooms(), OperatorSettings())] == [["cold"]]
--- a/tests/test_pressure.py
+++ b/tests/test_pressure.py
@@ -10,8 +10,8 @@
 from meadowcross.common.settings import OperatorSettings
 from meadowcross.common.types import JobId, MachineId, MachineKind, NodeName
 from meadowcross.jobs.messages import JobSpec
-from meadowcross.placement import engine
-from meadowcross.placement.engine import Candidate, PendingJob, QuotaHeadroom, place
+from meadowcross.placement.engine import place
+from meadowcross.placement.model import Candidate, PendingJob, QuotaHeadroom
 from meadowcross.workers.api import WorkerApi
 from meadowcross.workers.heartbeat_tracker import HeartbeatTracker
 from meadowcross.workers.messages import encode
@@ -47,7 +47,7 @@
         asked += 1
         return fits(offer, spec)
 
-    monkeypatch.setattr(engine.Candidate, "fits", counting)
+    monkeypatch.setattr(Candidate, "fits", counting)
     kind = MachineKind("small", "east", True)
     offers = [Candidate(MachineId(f"i-{n}"), kind, 4.0, 0.0, 16.0, set()) for n in range(500)]
     wants = []
