--- a/meadowcross/controller/controller.py
+++ b/meadowcross/controller/controller.py
@@ -524,7 +524,7 @@
         from twisted.internet.defer import Deferred
 
         from meadowcross.common.types import NodeName
-        from meadowcross.snapshots.writer import SnapshotWriter
+        from meadowcross.snapshots.writer import SnapshotSettings, SnapshotWriter
 
         operator, store_epochs = self._operator, self.store_epochs
         writer = SnapshotWriter(
@@ -534,10 +534,12 @@
             lambda: (
                 store_epochs.record.number if store_epochs.record is not None and store_epochs.stage is None else None
             ),
-            operator.snapshot_directory,
-            operator.snapshot_every_s,
-            int(operator.snapshot_keep),
-            operator.snapshot_keep_h * 3600.0,
+            SnapshotSettings(
+                operator.snapshot_directory,
+                operator.snapshot_every_s,
+                int(operator.snapshot_keep),
+                operator.snapshot_keep_h * 3600.0,
+            ),
         )
         Deferred.fromCoroutine(writer.run())
 
--- a/meadowcross/snapshots/__init__.py
+++ b/meadowcross/snapshots/__init__.py
@@ -1,1 +1,1 @@
-"""Pictures of the store kept on a disk, where the operators name a directory: the last source when all else is gone."""
+"""Snapshots of the store as files: written by followers, read by a recovery and by operators."""
--- a/meadowcross/snapshots/files.py
+++ b/meadowcross/snapshots/files.py
@@ -1,8 +1,8 @@
 """Snapshots as files: a full one, changes after it, each with a manifest that is written last.
 
-A data file holds a JSON line a key, compressed; its manifest says what it is, how long, and its SHA-256. Both are
-written beside their place, flushed to the disk and renamed into it, so a manifest that is there has all of its data.
-What can't be used is told by the name of what is wrong with it, and the snapshot before it is taken.
+A data file holds one JSON line a key, compressed with gzip. Its manifest holds its kind, length and SHA-256. Both are
+written under a temporary name, flushed to the disk and renamed, so a manifest that exists has all of its data. A
+snapshot that can't be used is reported with the reason, and the one before it is taken.
 """
 
 from __future__ import annotations
@@ -10,7 +10,8 @@
 import gzip
 import hashlib
 import os
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable, Iterator, Sequence
+from contextlib import suppress
 from dataclasses import dataclass
 from typing import NamedTuple
 
@@ -25,16 +26,31 @@
 MANIFEST_KIND = "meadowcross snapshot"
 MANIFEST_SUFFIX = ".manifest"
 DATA_SUFFIX = ".data.gz"
+COMPRESSION_LEVEL = 5
+
+
+@dataclass(frozen=True, slots=True)
+class SnapshotHeader:
+    """What the writer of a snapshot states about it."""
+
+    epoch: int
+    revision: Revision
+    base_revision: Revision
+    """Only the changes since that revision are in the snapshot; 0: it is a full one."""
+    node: NodeName
+    written_at: float
+    """Time of day, in seconds."""
 
 
 class Manifest(Struct):
-    """What a data file is. `after`: only the changes since that revision; 0: everything."""
+    """What a data file is, as stored beside it."""
 
     kind: str
     format: int
     epoch: int = field(name="era")
     revision: Revision
     base_revision: Revision = field(name="after")
+    """Only the changes since that revision are in the data file; 0: it is a full one."""
     key_count: int = field(name="keys")
     size_bytes: int = field(name="size")
     sha256: str
@@ -42,9 +58,14 @@
     written_at: float = field(name="at")
     """Time of day, in seconds, for people and for the bound on age."""
 
+    @property
+    def is_full(self) -> bool:
+        """Whether the snapshot holds everything, not only changes."""
+        return self.base_revision == 0
+
 
 class SnapshotEntry(Struct, array_like=True):
-    """One key, with its version and value, or that it was dropped."""
+    """One key, with its revision and value, or that it was dropped."""
 
     key: str
     revision: Revision = field(name="mark")
@@ -53,38 +74,75 @@
 
 
 class UnusableSnapshotError(Exception):
-    """Why a snapshot can't be used."""
+    """A snapshot can't be used; the message names it and the reason."""
 
 
-@dataclass(slots=True)
-class SnapshotInfo:
+class SnapshotInfo(NamedTuple):
     """A snapshot in a directory, usable or not."""
 
     name: str
     manifest: Manifest | None
+    """None where it could not be read."""
     defect: str | None
+    """Why it can't be used; None where nothing is known against it."""
+
+
+class UsableSnapshot(NamedTuple):
+    """A snapshot whose manifest and length are good; its content is not checked yet."""
+
+    name: str
+    manifest: Manifest
+
+
+class ReadResult(NamedTuple):
+    """What a directory gives: the newest state that can be used, and why others on the way could not."""
+
+    source: RecoverySource | None
+    rejections: list[str]
 
 
 def snapshot_name(epoch: int, revision: int, base_revision: int) -> str:
+    """The name of a snapshot's files, without suffix; names sort by epoch and revision."""
     kind = "full" if base_revision == 0 else f"changes-{base_revision:012d}"
     return f"{epoch:06d}-{revision:012d}-{kind}"
 
 
-def write_snapshot(directory: str, manifest: Manifest, entries: Iterable[SnapshotEntry], max_bytes: int) -> Manifest:
-    """Raises OSError, also where it would take more than `most_bytes`; nothing half written stays behind."""
-    name = snapshot_name(manifest.epoch, manifest.revision, manifest.base_revision)
-    encode = msgspec.json.Encoder().encode
-    content = gzip.compress(b"".join(encode(entry) + b"\n" for entry in entries), 5, mtime=0)
+def write_snapshot(
+    directory: str, header: SnapshotHeader, entries: Sequence[SnapshotEntry], max_bytes: int
+) -> Manifest:
+    """Write the data file, then its manifest, which is returned.
+
+    Raises OSError, also where the data would take more than `max_bytes`; no partial file stays behind.
+    """
+    name = snapshot_name(header.epoch, header.revision, header.base_revision)
+    content = _compress(entries)
     if len(content) > max_bytes:
         raise OSError(f"{name}: {len(content)} bytes, at most {max_bytes} are allowed")
-    manifest.size_bytes, manifest.sha256 = len(content), hashlib.sha256(content).hexdigest()
-    _write_durably(directory, name + DATA_SUFFIX, content)
-    _write_durably(
-        directory, name + MANIFEST_SUFFIX, msgspec.json.format(msgspec.json.encode(manifest), indent=1) + b"\n"
+    manifest = Manifest(
+        kind=MANIFEST_KIND,
+        format=FORMAT_VERSION,
+        epoch=header.epoch,
+        revision=header.revision,
+        base_revision=header.base_revision,
+        key_count=len(entries),
+        size_bytes=len(content),
+        sha256=hashlib.sha256(content).hexdigest(),
+        node=header.node,
+        written_at=header.written_at,
     )
+    _write_durably(directory, name + DATA_SUFFIX, content)
+    manifest_text = msgspec.json.format(msgspec.json.encode(manifest), indent=1)
+    _write_durably(directory, name + MANIFEST_SUFFIX, manifest_text + b"\n")
     return manifest
 
 
+def _compress(entries: Iterable[SnapshotEntry]) -> bytes:
+    encode = msgspec.json.Encoder().encode
+    lines = b"".join(encode(entry) + b"\n" for entry in entries)
+    # Without a time in the header, so that equal entries give equal files.
+    return gzip.compress(lines, COMPRESSION_LEVEL, mtime=0)
+
+
 def _write_durably(directory: str, file_name: str, content: bytes) -> None:
     path = os.path.join(directory, file_name)
     temporary_path = f"{path}.{os.getpid()}.tmp"
@@ -106,7 +164,7 @@
 
 
 def list_snapshots(directory: str) -> list[SnapshotInfo]:
-    """All snapshots there, newest first, judged by their manifests and lengths alone."""
+    """All snapshots there, newest first, judged by their manifests and lengths alone. Raises OSError."""
     names = sorted((name for name in os.listdir(directory) if name.endswith(MANIFEST_SUFFIX)), reverse=True)
     return [_inspect(directory, name.removesuffix(MANIFEST_SUFFIX)) for name in names]
 
@@ -119,24 +177,35 @@
         return SnapshotInfo(name, None, f"can't be read: {error.strerror}")
     except msgspec.DecodeError as error:
         return SnapshotInfo(name, None, f"its manifest is broken: {error}")
+    return SnapshotInfo(name, manifest, _find_defect(directory, name, manifest))
+
+
+def _find_defect(directory: str, name: str, manifest: Manifest) -> str | None:
     if manifest.kind != MANIFEST_KIND:
-        return SnapshotInfo(name, manifest, "foreign: not a snapshot of ours")
+        return "foreign: not a snapshot of ours"
     if manifest.format > FORMAT_VERSION:
-        return SnapshotInfo(name, manifest, f"of a newer format {manifest.format}, this version reads {FORMAT_VERSION}")
+        return f"of a newer format {manifest.format}, this version reads {FORMAT_VERSION}"
     if name != snapshot_name(manifest.epoch, manifest.revision, manifest.base_revision):
-        return SnapshotInfo(name, manifest, "its manifest is another's")
+        return "its manifest is another's"
     try:
-        size = os.stat(os.path.join(directory, name + DATA_SUFFIX)).st_size
+        size_bytes = os.stat(os.path.join(directory, name + DATA_SUFFIX)).st_size
     except OSError:
-        return SnapshotInfo(name, manifest, "its data are gone")
-    defect = None if size == manifest.size_bytes else f"torn: {size} of {manifest.size_bytes} bytes"
-    return SnapshotInfo(name, manifest, defect)
+        return "its data are gone"
+    if size_bytes != manifest.size_bytes:
+        return f"torn: {size_bytes} of {manifest.size_bytes} bytes"
+    return None
 
 
-def read_entries(directory: str, snapshot: SnapshotInfo) -> Iterator[SnapshotEntry]:
-    """Raises Unusable."""
-    if snapshot.defect is not None or snapshot.manifest is None:
-        raise UnusableSnapshotError(f"{snapshot.name}: {snapshot.defect}")
+def _select_usable(snapshots: Iterable[SnapshotInfo]) -> list[UsableSnapshot]:
+    return [
+        UsableSnapshot(snapshot.name, snapshot.manifest)
+        for snapshot in snapshots
+        if snapshot.defect is None and snapshot.manifest is not None
+    ]
+
+
+def read_entries(directory: str, snapshot: UsableSnapshot) -> Iterator[SnapshotEntry]:
+    """All entries of a snapshot. Raises UnusableSnapshotError, also after some entries."""
     try:
         with open(os.path.join(directory, snapshot.name + DATA_SUFFIX), "rb") as file:
             content = file.read()
@@ -152,24 +221,16 @@
         raise UnusableSnapshotError(f"{snapshot.name}: broken: {error}") from error
 
 
-class ReadResult(NamedTuple):
-    """What a directory gives: the newest state that holds, and what could not be used on the way."""
-
-    source: RecoverySource | None
-    rejections: list[str]
-
-
 def read_newest(directory: str) -> ReadResult:
-    """The newest full snapshot that holds, with all changes after it that hold in a row."""
-    rejections: list[str] = []
+    """The newest full snapshot that can be used, with the unbroken chain of changes after it."""
     try:
         snapshots = list_snapshots(directory)
     except OSError as error:
         return ReadResult(None, [f"{directory}: can't be read: {error.strerror}"])
-    rejections += [f"{snapshot.name}: {snapshot.defect}" for snapshot in snapshots if snapshot.defect is not None]
-    usable = [snapshot for snapshot in snapshots if snapshot.defect is None]
+    rejections = [f"{snapshot.name}: {snapshot.defect}" for snapshot in snapshots if snapshot.defect is not None]
+    usable = _select_usable(snapshots)
     for full in usable:
-        if full.manifest is None or full.manifest.base_revision:
+        if not full.manifest.is_full:
             continue
         items: dict[str, Item] = {}
         try:
@@ -177,23 +238,39 @@
         except UnusableSnapshotError as error:
             rejections.append(str(error))
             continue
-        epoch, revision = full.manifest.epoch, full.manifest.revision
-        for change in reversed(usable):
-            if change.manifest is None or (change.manifest.epoch, change.manifest.base_revision) != (epoch, revision):
-                continue
-            previous_items = dict(items)
-            try:
-                _apply_entries(items, read_entries(directory, change))
-            except UnusableSnapshotError as error:
-                # What comes after it builds on it.
-                rejections.append(str(error))
-                items = previous_items
-                break
-            revision = change.manifest.revision
-        return ReadResult(RecoverySource(NodeName(f"snapshot {full.name}"), epoch, revision, False, items), rejections)
+        revision = _apply_changes(directory, full, usable, items, rejections)
+        name = NodeName(f"snapshot {full.name}")
+        return ReadResult(RecoverySource(name, full.manifest.epoch, revision, False, items), rejections)
     return ReadResult(None, rejections)
 
 
+def _apply_changes(
+    directory: str,
+    full: UsableSnapshot,
+    usable: Sequence[UsableSnapshot],
+    items: dict[str, Item],
+    rejections: list[str],
+) -> Revision:
+    """Apply the changes after a full snapshot to its items, up to the first that is broken.
+
+    Returns the revision that the items have then.
+    """
+    epoch, revision = full.manifest.epoch, full.manifest.revision
+    for change in reversed(usable):
+        if (change.manifest.epoch, change.manifest.base_revision) != (epoch, revision):
+            continue
+        try:
+            # Read whole before any of it is applied.
+            entries = list(read_entries(directory, change))
+        except UnusableSnapshotError as error:
+            # Later changes build on this one.
+            rejections.append(str(error))
+            break
+        _apply_entries(items, entries)
+        revision = change.manifest.revision
+    return revision
+
+
 def _apply_entries(items: dict[str, Item], entries: Iterable[SnapshotEntry]) -> None:
     for entry in entries:
         if entry.is_dropped:
@@ -203,26 +280,27 @@
 
 
 def remove_old_snapshots(directory: str, keep_count: int, oldest_at: float) -> int:
-    """Drop whole chains beyond the newest `keep` full snapshots, and those written before `oldest`; the newest
-    that holds always stays. Returns how many snapshots went."""
+    """Remove whole chains: those beyond the newest `keep_count` full snapshots, and those written before `oldest_at`.
+
+    The newest usable full snapshot always stays. Returns how many snapshots were removed; raises OSError.
+    """
     snapshots = list_snapshots(directory)
-    full_snapshots = [
-        snapshot
-        for snapshot in snapshots
-        if snapshot.manifest is not None and snapshot.manifest.base_revision == 0 and snapshot.defect is None
+    full_snapshots = [snapshot for snapshot in _select_usable(snapshots) if snapshot.manifest.is_full]
+    kept = [
+        full.name
+        for number, full in enumerate(full_snapshots)
+        if number == 0 or (number < keep_count and full.manifest.written_at >= oldest_at)
     ]
-    removed_count = 0
-    last_kept = 0
-    for number, full in enumerate(full_snapshots):
-        if number == 0 or (number < keep_count and full.manifest is not None and full.manifest.written_at >= oldest_at):
-            last_kept = number
-    for snapshot in snapshots:
-        # Whatever is older than the last full snapshot that stays belongs to chains that go.
-        if full_snapshots and snapshot.name < full_snapshots[last_kept].name:
-            for suffix in (MANIFEST_SUFFIX, DATA_SUFFIX):
-                try:
-                    os.unlink(os.path.join(directory, snapshot.name + suffix))
-                except FileNotFoundError:
-                    continue
-            removed_count += 1
-    return removed_count
+    if not kept:
+        return 0
+    # Whatever is older than the last full snapshot that stays belongs to chains that go.
+    outdated = [snapshot.name for snapshot in snapshots if snapshot.name < kept[-1]]
+    for name in outdated:
+        _remove(directory, name)
+    return len(outdated)
+
+
+def _remove(directory: str, name: str) -> None:
+    for suffix in (MANIFEST_SUFFIX, DATA_SUFFIX):
+        with suppress(FileNotFoundError):
+            os.unlink(os.path.join(directory, name + suffix))
--- /dev/null
+++ b/meadowcross/snapshots/restore.py
@@ -0,0 +1,76 @@
+"""Writes a snapshot back into a store that has lost its data, while no node runs."""
+
+from __future__ import annotations
+
+import uuid
+from collections.abc import Iterable, Iterator, Sequence
+
+from meadowcross.common.types import Revision
+from meadowcross.recovery.merge import RecoverySource, merge
+from meadowcross.recovery.messages import (
+    EPOCH_KEY,
+    LEADER_KEY,
+    RECOVERY_PROGRESS_KEY,
+    RecoveryProgress,
+    RecoveryStage,
+    StoreEpochRecord,
+)
+from meadowcross.recovery.store_epochs import decode_epoch_record
+from meadowcross.store.client import StoreClient
+from meadowcross.store.messages import Condition, Item, Put, encode_raw
+from meadowcross.store.token_bucket import RequestPriority
+
+MAX_BATCH_BYTES = 48 * 1024
+"""Of one transaction, with room to spare."""
+ITEM_OVERHEAD_BYTES = 60
+"""Of an item in a transaction beside its key and value, about."""
+NO_LEADER = Condition(LEADER_KEY, Revision(0))
+
+
+async def restore(store: StoreClient, source: RecoverySource) -> None:
+    """Begin a new epoch, and write in it all that the snapshot has and the store lacks or has older.
+
+    Raises ConflictError where a node leads, or something else writes; run again, it goes on where it stopped.
+    """
+    stored_items, _ = await store.list_items("")
+    record, epoch_revision = await _begin_epoch(store, stored_items, source.epoch)
+    missing = merge([source], stored_items, epoch_revision).missing_under("")
+    epoch_conditions = [NO_LEADER, Condition(EPOCH_KEY, epoch_revision)]
+    for batch in _batches(missing, store.max_changes):
+        conditions = [Condition(item.key, item.mod_revision) for item in batch]
+        changes = [Put(item.key, item.value) for item in batch]
+        await store.transact_unguarded([*epoch_conditions, *conditions], changes, RequestPriority.USER)
+    # What is newer than the snapshot only machines and users know: the nodes ask them before they place.
+    print(f"era {record.number}: {len(missing)} keys of {source.name} written; start the nodes now")
+
+
+async def _begin_epoch(
+    store: StoreClient, stored_items: Sequence[Item], source_epoch: int
+) -> tuple[StoreEpochRecord, Revision]:
+    """Store the record of an epoch above all known ones; the record and its revision."""
+    epoch_item = next((item for item in stored_items if item.key == EPOCH_KEY), None)
+    known_epoch = decode_epoch_record(epoch_item.value).number if epoch_item is not None else 0
+    known_revision = epoch_item.mod_revision if epoch_item is not None else Revision(0)
+    record = StoreEpochRecord(max(known_epoch, source_epoch) + 1, uuid.uuid4().hex)
+    progress = RecoveryProgress(record.number, RecoveryStage.OPEN_JOBS)
+    revision = await store.transact_unguarded(
+        [NO_LEADER, Condition(EPOCH_KEY, known_revision)],
+        [Put(EPOCH_KEY, encode_raw(record)), Put(RECOVERY_PROGRESS_KEY, encode_raw(progress))],
+        RequestPriority.USER,
+    )
+    return record, revision
+
+
+def _batches(items: Iterable[Item], max_items: int) -> Iterator[list[Item]]:
+    """The items, as many at a time as fit one transaction."""
+    batch: list[Item] = []
+    batch_bytes = 0
+    for item in items:
+        size_bytes = len(bytes(item.value)) + len(item.key) + ITEM_OVERHEAD_BYTES
+        if batch and (len(batch) >= max_items or batch_bytes + size_bytes > MAX_BATCH_BYTES):
+            yield batch
+            batch, batch_bytes = [], 0
+        batch.append(item)
+        batch_bytes += size_bytes
+    if batch:
+        yield batch
--- a/tests/support/wire_constants.py
+++ b/tests/support/wire_constants.py
@@ -61,7 +61,7 @@
 from meadowcross.openjd.site import load as load_submitters
 from meadowcross.recovery.messages import EPOCH_KEY, LEADER_KEY, RECOVERY_PROGRESS_KEY, RecoveryStage
 from meadowcross.relay.messages import DeliveryOutcome
-from meadowcross.snapshots.files import Manifest, SnapshotEntry, write_snapshot
+from meadowcross.snapshots.files import SnapshotEntry, SnapshotHeader, write_snapshot
 from meadowcross.workers.messages import (
     EXIT_DONE,
     EXIT_ERROR,
@@ -166,9 +166,9 @@
         SnapshotEntry("e/wk-123456", Revision(12), Raw(b'{"s":"done","n":1}')),
         SnapshotEntry("j/wk-123456", Revision(12), Raw(b"null"), True),
     ]
-    node, kind, size, checksum = NodeName("controller-0"), "meadowcross snapshot", 0, ""
-    first = Manifest(kind, 1, 2, Revision(9), Revision(0), 2, size, checksum, node, 1000.5)
-    second = Manifest(kind, 1, 2, Revision(14), Revision(9), 2, size, checksum, node, 1060.5)
+    node = NodeName("controller-0")
+    first = SnapshotHeader(2, Revision(9), Revision(0), node, 1000.5)
+    second = SnapshotHeader(2, Revision(14), Revision(9), node, 1060.5)
     write_snapshot(str(directory), first, full, SNAPSHOT_LIMIT_BYTES)
     write_snapshot(str(directory), second, changes, SNAPSHOT_LIMIT_BYTES)
 
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -16,7 +16,7 @@
 from meadowcross.recovery.merge import RecoverySource, merge
 from meadowcross.recovery.store_epochs import EpochState, StoreEpochs
 from meadowcross.snapshots import files
-from meadowcross.snapshots.cli import restore
+from meadowcross.snapshots.restore import restore
 from meadowcross.store.client import ConflictError, StoreClient, StoreUnavailableError
 from meadowcross.store.messages import Condition, Item, Put, encode_raw
 from meadowcross.store.token_bucket import RequestPriority
@@ -306,21 +306,10 @@
     last: dict[str, int] = {}
     before = 0
     for revision, state in states:
-        manifest = files.Manifest(
-            files.MANIFEST_KIND,
-            files.FORMAT_VERSION,
-            0,
-            Revision(revision),
-            Revision(before),
-            0,
-            0,
-            "",
-            NodeName("n0"),
-            100.0,
-        )
+        header = files.SnapshotHeader(0, Revision(revision), Revision(before), NodeName("n0"), 100.0)
         lines = [files.SnapshotEntry(k, Revision(m), Raw(b"%d" % m)) for k, m in state.items() if last.get(k) != m]
         lines += [files.SnapshotEntry(k, Revision(revision), is_dropped=True) for k in last if k not in state]
-        files.write_snapshot(str(directory), manifest, lines, 10**6)
+        files.write_snapshot(str(directory), header, lines, 10**6)
         last, before = dict(state), revision
     return str(directory)
 
@@ -401,17 +390,17 @@
 
 
 def test_a_full_disk_or_too_large_a_snapshot_leaves_nothing_half_written(tmp_path, monkeypatch):
-    manifest = files.Manifest(files.MANIFEST_KIND, 1, 0, Revision(5), Revision(0), 0, 0, "", NodeName("n0"), 1.0)
+    header = files.SnapshotHeader(0, Revision(5), Revision(0), NodeName("n0"), 1.0)
     lines = [files.SnapshotEntry("j/x", Revision(3), Raw(b"1"))]
     with pytest.raises(OSError, match="at most 10"):
-        files.write_snapshot(str(tmp_path), manifest, lines, 10)
+        files.write_snapshot(str(tmp_path), header, lines, 10)
 
     def full(file):
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(files.os, "fsync", full)
     with pytest.raises(OSError, match="No space"):
-        files.write_snapshot(str(tmp_path), manifest, lines, 10**6)
+        files.write_snapshot(str(tmp_path), header, lines, 10**6)
     assert os.listdir(tmp_path) == []
 
 
