--- a/meadowcross/replication/__init__.py
+++ b/meadowcross/replication/__init__.py
@@ -1,1 +1,1 @@
-"""What a node that does not lead knows of the cluster: a picture of the store, and what the leader tells."""
+"""What a node that does not lead knows of the cluster: a replica of the store, and the leader's hints."""
--- a/meadowcross/replication/consistency_check.py
+++ b/meadowcross/replication/consistency_check.py
@@ -1,7 +1,7 @@
-"""Compares a picture with the store, in the background, by transactions that write nothing.
+"""Compares a replica with the store, in the background, by transactions that write nothing.
 
-A term begins with the picture at once; every write is conditional anyway. This finds what conditions would only find
-one by one, and late: a key that the picture has and the store has not, or in another version.
+A term begins with the replica at once; every write is conditional anyway. This check finds what conditions would only
+find one by one, and late: a key that the replica has and the store has not, or at another revision.
 """
 
 from __future__ import annotations
@@ -19,17 +19,20 @@
 log = get_logger("replica")
 
 COMPARISON_DURATION_S: Seconds = 8.0
-"""All keys are compared within this time, a store that answers given."""
+"""All keys are compared within this time, as long as the store answers."""
 RETRY_DELAY_S: Seconds = 1.0
 MAX_ATTEMPTS = 3
-"""What differs is asked so often again: it may be just being written."""
+"""Of a request without a result; keys that differ are compared so often again, since they may be being written."""
 CHECKED_PREFIXES = ("j/", "t/", "w/")
 
 
 async def find_differences(
     clock: Clock, store: StoreClient, replica: StoreReplica, is_still_wanted: Callable[[], bool]
 ) -> list[str] | None:
-    """The keys that differ for good; None: not wanted any more, or the store gave no answer for long."""
+    """The keys that still differ after some retries, sorted.
+
+    None: `is_still_wanted` returned False, or the store gave no answer for long.
+    """
     keys = [item.key for prefix in CHECKED_PREFIXES for item in replica.items_under(prefix)]
     batch_size = store.max_conditions
     batches = [keys[first : first + batch_size] for first in range(0, len(keys), batch_size)]
@@ -47,7 +50,7 @@
         differing = await _compare_batch(clock, store, replica, list(suspected)[:batch_size], is_still_wanted)
         if differing is None:
             return None
-        # In the picture it is another version now: it was being written when we asked.
+        # At another revision now in the replica: the key was being written when it was compared.
         suspected = {key: revision for key, revision in differing.items() if suspected.get(key) == revision}
     return sorted(suspected)
 
@@ -55,18 +58,18 @@
 async def _compare_batch(
     clock: Clock, store: StoreClient, replica: StoreReplica, keys: list[str], is_still_wanted: Callable[[], bool]
 ) -> dict[str, Revision] | None:
-    """Of these keys those that differ, with the picture's version."""
+    """Those of the keys that differ, with the replica's revisions; None as for `find_differences`."""
     for _ in range(MAX_ATTEMPTS):
         if not is_still_wanted():
             return None
-        # As the picture has them now, some were written or dropped since.
+        # The replica is read anew at each attempt: some keys were written or dropped since.
         revisions = {key: item.mod_revision for key in keys if (item := replica.get(key)) is not None}
         try:
             changed = await store.find_changed_keys(
                 [Condition(key, revision) for key, revision in revisions.items()], RequestPriority.BACKGROUND
             )
         except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
-            log.debug("comparing waits: %s", error)
+            log.debug("consistency_check_waits error=%s", error)
             await pause(clock, RETRY_DELAY_S)
             continue
         return {key: revisions[key] for key in changed if key in revisions}
--- /dev/null
+++ b/meadowcross/replication/leader_activity.py
@@ -0,0 +1,60 @@
+"""How often a leader writes to the store, and for how long it has not, as the feed of changes shows it."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Sequence
+from typing import NamedTuple
+
+from meadowcross.common.clock import Clock
+from meadowcross.common.types import Instant, Revision, Seconds
+from meadowcross.store.messages import Event
+
+WRITE_RATE_WINDOW_S: Seconds = 5.0
+"""The leader's writes are counted over so long."""
+ENDED_JOBS_PREFIX = "e/"
+LEADER_PREFIXES = ("t/", "w/", ENDED_JOBS_PREFIX)
+"""Only a leader writes below these."""
+
+
+class _ObservedWrites(NamedTuple):
+    """The transactions of a leader that one answer of the feed showed."""
+
+    observed_at: Instant
+    transactions: int
+
+
+class LeaderActivity:
+    """Evidence for whoever must judge whether the leader still works."""
+
+    def __init__(self, clock: Clock) -> None:
+        self._clock = clock
+        self._writes: deque[_ObservedWrites] = deque()
+        self._last_poll_at = Instant(0.0)
+        self._last_write_at = Instant(0.0)
+
+    def record_poll(self, requested_at: Instant, events: Sequence[Event], since_revision: Revision) -> None:
+        """Take note of an answer of the feed, asked for at `requested_at` with the replica at `since_revision`."""
+        now = Instant(self._clock.seconds())
+        # An answer without events only shows that there was nothing when it was asked for.
+        self._last_poll_at = now if events else max(self._last_poll_at, requested_at)
+        revisions = {
+            event.mod_revision
+            for event in events
+            if event.mod_revision > since_revision and event.key.startswith(LEADER_PREFIXES)
+        }
+        if revisions:
+            self._last_write_at = now
+            self._writes.append(_ObservedWrites(now, len(revisions)))
+        while self._writes and now - self._writes[0].observed_at > WRITE_RATE_WINDOW_S:
+            self._writes.popleft()
+
+    def writes_per_s(self) -> float:
+        """Transactions a second that a leader stored lately."""
+        now = self._clock.seconds()
+        recent = sum(writes.transactions for writes in self._writes if now - writes.observed_at <= WRITE_RATE_WINDOW_S)
+        return recent / WRITE_RATE_WINDOW_S
+
+    def silence_s(self, since_at: Instant) -> Seconds:
+        """For how long, from `since_at` on, the store is known to have taken nothing from a leader."""
+        return max(0.0, self._last_poll_at - max(since_at, self._last_write_at))
