--- a/meadowcross/store/client.py
+++ b/meadowcross/store/client.py
@@ -1,9 +1,14 @@
-"""The state-service client. Every outcome of a transaction is told apart."""
+"""Client of the state service: reads, transactions, leases and watches within the node's rate share.
+
+Each outcome of a transaction has its own error, since what may follow differs: applied, certainly not applied,
+rejected by a condition, or unknown.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import Protocol
+from http import HTTPStatus
+from typing import NamedTuple, Protocol
 from urllib.parse import quote
 
 import msgspec
@@ -14,7 +19,22 @@
 from meadowcross.common.logging import get_logger
 from meadowcross.common.settings import StateFacts
 from meadowcross.common.types import Address, LeaseId, Revision, Seconds
-from meadowcross.store import messages as m
+from meadowcross.store.messages import (
+    Change,
+    Condition,
+    Item,
+    LeaseRequest,
+    Page,
+    Transaction,
+    WatchResponse,
+    decode_conflict,
+    decode_item,
+    decode_lease,
+    decode_page,
+    decode_revision,
+    decode_watch,
+    encode,
+)
 from meadowcross.store.rate_shares import MIN_BURST_SHARE
 from meadowcross.store.request_counter import RequestCounter
 from meadowcross.store.token_bucket import RequestPriority, TokenBucket
@@ -22,23 +42,34 @@
 log = get_logger("store")
 
 CALL_TIMEOUT_S: Seconds = 2.0
+LIST_TIMEOUT_S: Seconds = 5.0
+WATCH_TIMEOUT_MARGIN_S: Seconds = 5.0
+"""Added to the time that the service may hold a watch open."""
 MAX_CONCURRENT_READS = 16
+DEFAULT_PAGE_SIZE = 1000
 DEFAULT_SHARE = 0.2
+CONDITIONS_PER_CHANGE = 4
+"""A transaction may hold so many times as many conditions as changes."""
+TRANSACTION_PATH = "/multi"
+
 
+class StoreError(Exception):
+    """Base class of the state service's errors."""
 
-class StoreUnavailableError(Exception):
-    """Not executed: an outage, a spent budget, or no connection."""
 
+class StoreUnavailableError(StoreError):
+    """Not executed: an outage, an exhausted rate limit, or no connection."""
 
-class IndeterminateResultError(Exception):
-    """No answer: executed, or not, or executed later."""
 
+class IndeterminateResultError(StoreError):
+    """No answer: the request was executed, or was not, or will be later."""
 
-class RequestRejectedError(Exception):
-    """The service says that the request is malformed or its hold is gone."""
 
+class RequestRejectedError(StoreError):
+    """The service rejects the request as malformed, or its lease has ended."""
 
-class ConflictError(Exception):
+
+class ConflictError(StoreError):
     """A condition did not hold; nothing was written."""
 
     def __init__(self, failed_keys: Sequence[str]) -> None:
@@ -46,164 +77,98 @@
         self.failed_keys = list(failed_keys)
 
 
-class WatchCompactedError(Exception):
+class WatchCompactedError(StoreError):
     """The watch has missed changes: read the keys again."""
 
 
 class StoreEpochGuard(Protocol):
-    """Knows whether the service still holds what was stored in it; see `rebuild.era`."""
+    """Knows whether the service still holds what was stored in it; see `recovery`."""
 
-    def epoch_condition(self) -> m.Condition | None:
-        """Carried by whatever is written or compared. Raises Unavailable."""
+    def epoch_condition(self) -> Condition | None:
+        """Return the condition of every transaction and comparison. Raises StoreUnavailableError."""
 
     def on_epoch_mismatch(self) -> None:
-        """That condition failed."""
+        """Called when that condition failed."""
 
     def on_revision_regressed(self, known: Revision, received: Revision) -> None:
-        """The service's revision is lower than before."""
+        """Called when the service answers with a lower revision than one known before the request."""
+
+
+class Listing(NamedTuple):
+    """All items under a prefix, and the revision before the first of them was read."""
+
+    items: list[Item]
+    revision: Revision
+
+
+class _RequestBaseline(NamedTuple):
+    """What was known when a request was sent."""
+
+    epoch_count: int
+    revision: Revision
 
 
 class StoreClient:
+    """Requests to the state service, limited to this node's share of the service's rates.
+
+    Any method may raise StoreUnavailableError, IndeterminateResultError or RequestRejectedError.
+    """
+
     def __init__(
         self, clock: Clock, http: HttpClient, address: Address, facts: StateFacts, share: float = DEFAULT_SHARE
     ) -> None:
-        """`share` of the service's limits is this client's."""
         self._clock = clock
         self._http = http
         self._address = address
         self._facts = facts
         self.max_changes = facts.txn_ops
-        self.max_conditions = 4 * facts.txn_ops - 1
-        """One more is kept for the era's."""
+        self.max_conditions = CONDITIONS_PER_CHANGE * facts.txn_ops - 1
+        """One less than the service takes: the last is kept for the store epoch's condition."""
         self.guard: StoreEpochGuard | None = None
         self.highest_revision = Revision(0)
-        """The highest revision that the service has told of, in this era."""
+        """The highest revision that the service has reported in this store epoch."""
         self._epoch_count = 0
         self.max_value_bytes = int(facts.value_kb * 1024)
         self.failing_since: float | None = None
+        """The instant since which no request got a proper answer; None after a proper answer."""
         self._request_counter = RequestCounter(clock)
         self.reset_share(share)
 
+    # Rate share
+
     def reset_share(self, share: float) -> None:
-        """The nodes share the service's limits (`store/shares.py`); a budget begins anew with each share."""
+        """Use this share of the service's limits from now on, with full buckets (see `store.rate_shares`)."""
         burst = max(share, MIN_BURST_SHARE)
         self._request_bucket = TokenBucket(self._clock, self._facts.rps * share, self._facts.rps * burst)
         self._write_bucket = TokenBucket(self._clock, self._facts.write_rps * share, self._facts.write_rps * burst)
 
-    def used_share(self) -> float:
-        """The part of the service's limits that this client used lately: of requests or of changes, the larger."""
-        return max(
-            self._request_bucket.used_rate() / self._facts.rps, self._write_bucket.used_rate() / self._facts.write_rps
-        )
-
     def adjust_share(self, share: float) -> None:
-        """The same budgets go on at other rates."""
+        """Change the rates to this share; the buckets keep their contents and their back-off."""
         self._request_bucket.set_rate(self._facts.rps * share)
         self._write_bucket.set_rate(self._facts.write_rps * share)
 
-    def is_answering(self) -> bool:
-        """Whether the last call was answered properly."""
-        return self.failing_since is None
-
-    async def _call(
-        self,
-        method: str,
-        path: str,
-        body: bytes | None,
-        priority: RequestPriority,
-        timeout_s: Seconds = CALL_TIMEOUT_S,
-        is_long_poll: bool = False,
-    ) -> ClientResponse:
-        await self._request_bucket.acquire(1.0, priority)
-        self._request_counter.count(method, path, priority)
-        try:
-            reply = await self._http.call(method, self._address, path, body, timeout_s)
-        except ConnectionFailedError as error:
-            self._record_failure()
-            raise StoreUnavailableError(str(error)) from error
-        except NoResponseError as error:
-            if not is_long_poll:
-                self._record_failure()
-            raise IndeterminateResultError(str(error)) from error
-        if reply.status == 429:
-            self._request_bucket.back_off()
-            if method == "POST" and path == "/multi":
-                self._write_bucket.back_off()
-            raise StoreUnavailableError("over the service's rate")
-        if reply.status >= 500:
-            self._record_failure()
-            raise StoreUnavailableError(f"status {reply.status}")
-        self.failing_since = None
-        return reply
+    def used_share(self) -> float:
+        """Return the part of the service's limits used lately: of requests or of changes, whichever is larger."""
+        requests = self._request_bucket.used_rate() / self._facts.rps
+        writes = self._write_bucket.used_rate() / self._facts.write_rps
+        return max(requests, writes)
 
-    def _record_failure(self) -> None:
-        if self.failing_since is None:
-            self.failing_since = self._clock.seconds()
-            log.info("state service does not answer properly")
+    # Reads
 
-    async def get(self, key: str, priority: RequestPriority = RequestPriority.USER) -> m.Item | None:
-        reply = await self._call("GET", "/kv/" + key, None, priority)
-        if reply.status == 404:
+    async def get(self, key: str, priority: RequestPriority = RequestPriority.USER) -> Item | None:
+        """Return what the key holds, or None if it does not exist."""
+        response = await self._call("GET", "/kv/" + key, None, priority)
+        if response.status == HTTPStatus.NOT_FOUND:
             return None
-        if reply.status != 200:
-            raise RequestRejectedError(f"read of {key}: {reply.status}")
-        return m.decode_item(reply.body)
-
-    async def list_page(
-        self, prefix: str, limit: int, after: str = "", priority: RequestPriority = RequestPriority.LEADERSHIP
-    ) -> m.Page:
-        """At most so many keys under the prefix, in order, beginning after one."""
-        since_parameter = f"&since={quote(after, safe='/')}" if after else ""
-        baseline = self._request_baseline()
-        reply = await self._call("GET", f"/kv?under={prefix}{since_parameter}&limit={limit}", None, priority, 5.0)
-        if reply.status != 200:
-            raise RequestRejectedError(f"list of {prefix}: {reply.status}")
-        result_page = m.decode_page(reply.body)
-        self._record_revision(baseline, result_page.revision)
-        return result_page
-
-    def begin_epoch(self, revision: Revision) -> None:
-        """Another era: revisions may begin anew."""
-        self._epoch_count += 1
-        self.highest_revision = revision
-
-    def _request_baseline(self) -> tuple[int, Revision]:
-        """What is known when a request is sent."""
-        return self._epoch_count, self.highest_revision
-
-    def _record_revision(self, baseline: tuple[int, Revision], received: Revision) -> None:
-        """A request sent when `seen` was the highest revision known was answered with `told`: a store that is
-        consistent can't tell less. Only what was known at the sending counts, or answers that overtook each
-        other would look like a loss."""
-        epoch_count, known = baseline
-        if epoch_count != self._epoch_count:
-            return
-        if received < known and self.guard is not None:
-            self.guard.on_revision_regressed(known, received)
-        self.highest_revision = max(self.highest_revision, received)
-
-    async def list_items(
-        self, prefix: str, priority: RequestPriority = RequestPriority.LEADERSHIP, page_size: int = 1000
-    ) -> tuple[list[m.Item], Revision]:
-        """All keys under the prefix, `page` at a time, and the revision before the first page
-        was read."""
-        items: list[m.Item] = []
-        first_revision: Revision | None = None
-        after = ""
-        while True:
-            result_page = await self.list_page(prefix, page_size, after, priority)
-            # A watch from the first page's revision sees whatever changed in between.
-            first_revision = result_page.revision if first_revision is None else first_revision
-            items.extend(result_page.items)
-            if not result_page.has_more or not result_page.items:
-                return items, first_revision
-            after = result_page.items[-1].key
+        if response.status != HTTPStatus.OK:
+            raise RequestRejectedError(f"read of {key}: {response.status}")
+        return decode_item(response.body)
 
     async def get_all(
         self, keys: Sequence[str], priority: RequestPriority = RequestPriority.USER
-    ) -> Sequence[m.Item | None]:
-        """What each of the keys holds, some read at once. Raises the first failure."""
-        items: list[m.Item | None] = []
+    ) -> Sequence[Item | None]:
+        """Return what each of the keys holds, reading several at a time. Raises the first failure."""
+        items: list[Item | None] = []
         for start in range(0, len(keys), MAX_CONCURRENT_READS):
             batch = keys[start : start + MAX_CONCURRENT_READS]
             reads = [Deferred.fromCoroutine(self.get(key, priority)) for key in batch]
@@ -213,13 +178,74 @@
                 error.subFailure.raiseException()
         return items
 
+    async def list_page(
+        self, prefix: str, limit: int, after: str = "", priority: RequestPriority = RequestPriority.LEADERSHIP
+    ) -> Page:
+        """Return at most `limit` items under the prefix in key order, beginning behind the key `after`."""
+        since_parameter = f"&since={quote(after, safe='/')}" if after else ""
+        path = f"/kv?under={prefix}{since_parameter}&limit={limit}"
+        baseline = self._request_baseline()
+        response = await self._call("GET", path, None, priority, LIST_TIMEOUT_S)
+        if response.status != HTTPStatus.OK:
+            raise RequestRejectedError(f"list of {prefix}: {response.status}")
+        page = decode_page(response.body)
+        self._record_revision(baseline, page.revision)
+        return page
+
+    async def list_items(
+        self,
+        prefix: str,
+        priority: RequestPriority = RequestPriority.LEADERSHIP,
+        page_size: int = DEFAULT_PAGE_SIZE,
+    ) -> Listing:
+        """Return all items under the prefix, read `page_size` at a time.
+
+        A watch from the listing's revision reports whatever changed while later pages were read.
+        """
+        items: list[Item] = []
+        first_revision: Revision | None = None
+        after = ""
+        while True:
+            page = await self.list_page(prefix, page_size, after, priority)
+            first_revision = page.revision if first_revision is None else first_revision
+            items.extend(page.items)
+            if not page.has_more or not page.items:
+                return Listing(items, first_revision)
+            after = page.items[-1].key
+
+    async def watch(self, prefix: str, since_revision: Revision, wait_s: Seconds) -> WatchResponse:
+        """Return the changes under the prefix since the revision, waiting up to `wait_s` for one.
+
+        Raises WatchCompactedError if the service no longer has all of them.
+        """
+        path = f"/watch?under={prefix}&since={since_revision}&waitMs={int(wait_s * 1000)}"
+        baseline = _RequestBaseline(self._epoch_count, since_revision)
+        timeout_s = wait_s + WATCH_TIMEOUT_MARGIN_S
+        response = await self._call("GET", path, None, RequestPriority.LEADERSHIP, timeout_s, is_long_poll=True)
+        if response.status == HTTPStatus.GONE:
+            raise WatchCompactedError(prefix)
+        if response.status != HTTPStatus.OK:
+            raise RequestRejectedError(f"watch of {prefix}: {response.status}")
+        try:
+            changes = decode_watch(response.body)
+        except msgspec.DecodeError as error:
+            raise StoreUnavailableError(f"watch of {prefix}: {error}") from error
+        self._record_revision(baseline, changes.revision)
+        return changes
+
+    # Transactions
+
     async def transact(
         self,
-        conditions: Sequence[m.Condition],
-        changes: Sequence[m.Put | m.Delete],
+        conditions: Sequence[Condition],
+        changes: Sequence[Change],
         priority: RequestPriority,
         timeout_s: Seconds = CALL_TIMEOUT_S,
     ) -> Revision:
+        """Apply all changes if all conditions hold and the store epoch is still the known one.
+
+        Returns the revision of the changes. Raises ConflictError if a condition does not hold.
+        """
         epoch_condition = self.guard.epoch_condition() if self.guard is not None else None
         if epoch_condition is None:
             return await self.transact_unguarded(conditions, changes, priority, timeout_s)
@@ -233,69 +259,128 @@
 
     async def transact_unguarded(
         self,
-        conditions: Sequence[m.Condition],
-        changes: Sequence[m.Put | m.Delete],
+        conditions: Sequence[Condition],
+        changes: Sequence[Change],
         priority: RequestPriority,
         timeout_s: Seconds = CALL_TIMEOUT_S,
     ) -> Revision:
-        """Without the era's condition: for what begins an era, or must work in any."""
+        """Apply changes as `transact` does, in any store epoch: for what begins an epoch or must work in each."""
         if changes:
             await self._write_bucket.acquire(float(len(changes)), priority)
-        body = m.encode(m.Transaction(list(conditions), list(changes)))
+        body = encode(Transaction(list(conditions), list(changes)))
         baseline = self._request_baseline()
-        reply = await self._call("POST", "/multi", body, priority, timeout_s)
-        if reply.status == 200:
-            revision = m.decode_revision(reply.body).revision
+        response = await self._call("POST", TRANSACTION_PATH, body, priority, timeout_s)
+        if response.status == HTTPStatus.OK:
+            revision = decode_revision(response.body).revision
             self._record_revision(baseline, revision)
             return revision
-        if reply.status == 409:
-            conflict = m.decode_conflict(reply.body)
+        if response.status == HTTPStatus.CONFLICT:
+            conflict = decode_conflict(response.body)
             if conflict.revision is not None:
                 self._record_revision(baseline, conflict.revision)
             raise ConflictError(conflict.failed_keys)
-        raise RequestRejectedError(f"transaction: {reply.status} {reply.body[:200]!r}")
+        raise RequestRejectedError(f"transaction: {response.status} {response.body[:200]!r}")
 
     async def find_changed_keys(
-        self, conditions: Sequence[m.Condition], priority: RequestPriority = RequestPriority.USER
+        self, conditions: Sequence[Condition], priority: RequestPriority = RequestPriority.USER
     ) -> set[str]:
-        """The keys, of those named, that no longer have the version given."""
+        """Return the keys whose conditions no longer hold, by one transaction without changes."""
         try:
             await self.transact(conditions, [], priority)
         except ConflictError as conflict:
             return set(conflict.failed_keys)
         return set()
 
+    # Leases
+
     async def grant_lease(self, ttl_s: Seconds) -> LeaseId:
-        body = m.encode(m.LeaseRequest(int(ttl_s * 1000)))
-        reply = await self._call("POST", "/holds", body, RequestPriority.LEADERSHIP)
-        if reply.status != 200:
-            raise RequestRejectedError(f"hold: {reply.status}")
-        return m.decode_lease(reply.body).lease_id
+        """Return a new lease, which ends unless it is renewed within `ttl_s`."""
+        body = encode(LeaseRequest(int(ttl_s * 1000)))
+        response = await self._call("POST", "/holds", body, RequestPriority.LEADERSHIP)
+        if response.status != HTTPStatus.OK:
+            raise RequestRejectedError(f"hold: {response.status}")
+        return decode_lease(response.body).lease_id
 
     async def renew_lease(self, lease_id: LeaseId, timeout_s: Seconds) -> bool:
-        """False: the hold has ended."""
-        reply = await self._call("POST", f"/holds/{lease_id}/renew", b"{}", RequestPriority.LEADERSHIP, timeout_s)
-        if reply.status == 404:
+        """Renew the lease; return False if it has ended."""
+        path = f"/holds/{lease_id}/renew"
+        response = await self._call("POST", path, b"{}", RequestPriority.LEADERSHIP, timeout_s)
+        if response.status == HTTPStatus.NOT_FOUND:
             return False
-        if reply.status != 200:
-            raise RequestRejectedError(f"renewal: {reply.status}")
+        if response.status != HTTPStatus.OK:
+            raise RequestRejectedError(f"renewal: {response.status}")
         return True
 
     async def revoke_lease(self, lease_id: LeaseId) -> None:
+        """End the lease, which deletes the keys that are attached to it."""
         await self._call("DELETE", f"/holds/{lease_id}", None, RequestPriority.LEADERSHIP)
 
-    async def watch(self, prefix: str, since_revision: Revision, wait_s: Seconds) -> m.WatchResponse:
-        path = f"/watch?under={prefix}&since={since_revision}&waitMs={int(wait_s * 1000)}"
-        baseline = (self._epoch_count, since_revision)
-        # An open watch says nothing during an outage, so its silence is no failure.
-        reply = await self._call("GET", path, None, RequestPriority.LEADERSHIP, wait_s + 5.0, is_long_poll=True)
-        if reply.status == 410:
-            raise WatchCompactedError(prefix)
-        if reply.status != 200:
-            raise RequestRejectedError(f"watch of {prefix}: {reply.status}")
+    # Consistency and health
+
+    def is_answering(self) -> bool:
+        """Whether the last call got a proper answer."""
+        return self.failing_since is None
+
+    def begin_epoch(self, revision: Revision) -> None:
+        """Forget the highest revision: in a new store epoch revisions may begin anew."""
+        self._epoch_count += 1
+        self.highest_revision = revision
+
+    def _request_baseline(self) -> _RequestBaseline:
+        return _RequestBaseline(self._epoch_count, self.highest_revision)
+
+    def _record_revision(self, baseline: _RequestBaseline, received: Revision) -> None:
+        """Compare the revision of an answer with what was known when its request was sent.
+
+        A consistent service never answers with a lower one. Only the knowledge at the time of sending counts:
+        otherwise answers that overtook each other would look like a loss of data.
+        """
+        if baseline.epoch_count != self._epoch_count:
+            return
+        if received < baseline.revision and self.guard is not None:
+            self.guard.on_revision_regressed(baseline.revision, received)
+        self.highest_revision = max(self.highest_revision, received)
+
+    async def _call(
+        self,
+        method: str,
+        path: str,
+        body: bytes | None,
+        priority: RequestPriority,
+        timeout_s: Seconds = CALL_TIMEOUT_S,
+        is_long_poll: bool = False,
+    ) -> ClientResponse:
+        """Send one request; return its answer unless that reports an overload or an outage.
+
+        A long poll says nothing during an outage, so its missing answer does not count as a failure.
+        """
+        await self._request_bucket.acquire(1.0, priority)
+        self._request_counter.count(method, path, priority)
         try:
-            events = m.decode_watch(reply.body)
-        except msgspec.DecodeError as error:
-            raise StoreUnavailableError(f"watch of {prefix}: {error}") from error
-        self._record_revision(baseline, events.revision)
-        return events
+            response = await self._http.call(method, self._address, path, body, timeout_s)
+        except ConnectionFailedError as error:
+            self._record_failure()
+            raise StoreUnavailableError(str(error)) from error
+        except NoResponseError as error:
+            if not is_long_poll:
+                self._record_failure()
+            raise IndeterminateResultError(str(error)) from error
+        self._check_availability(response, is_transaction=path == TRANSACTION_PATH)
+        self.failing_since = None
+        return response
+
+    def _check_availability(self, response: ClientResponse, is_transaction: bool) -> None:
+        """Raise StoreUnavailableError where the service did not execute the request."""
+        if response.status == HTTPStatus.TOO_MANY_REQUESTS:
+            self._request_bucket.back_off()
+            if is_transaction:
+                self._write_bucket.back_off()
+            raise StoreUnavailableError("over the service's rate")
+        if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
+            self._record_failure()
+            raise StoreUnavailableError(f"status {response.status}")
+
+    def _record_failure(self) -> None:
+        if self.failing_since is None:
+            self.failing_since = self._clock.seconds()
+            log.info("store failing address=%s", self._address)
--- a/meadowcross/store/command_line.py
+++ b/meadowcross/store/command_line.py
@@ -1,4 +1,4 @@
-"""Work with the state service for a command that a person runs, within the share of a node that does not lead."""
+"""Access to the state service for command-line programs, within the rate share of a follower."""
 
 from __future__ import annotations
 
@@ -15,34 +15,45 @@
     StoreUnavailableError,
 )
 
+EXIT_FAILURE = 2
 
-def run_with_store(program: str, config_path: str, work: Callable[[StoreClient], Awaitable[None]]) -> int:
-    """Do it with the state service that a node's settings name. Exit status: 0, or 2 and one line on standard
-    error. Once in a process: a reactor does not start again."""
-    from meadowcross.common.reactor_runner import run_until_complete
+StoreCommand = Callable[[StoreClient], Awaitable[None]]
+
+
+def run_with_store(program: str, config_path: str, command: StoreCommand) -> int:
+    """Run the command with the state service that a node's settings file names.
 
-    def report_error(message: str) -> int:
-        print(f"{program}: {message}", file=sys.stderr)
-        return 2
+    Returns the exit status: 0, or 2 after one line on standard error. Only once in a process, since a reactor does
+    not start again.
+    """
+    # Importing it late keeps the reactor out of programs that only parse their arguments.
+    from meadowcross.common.reactor_runner import run_until_complete
 
     try:
         settings = load_settings(config_path)
     except SettingsError as error:
-        return report_error(str(error))
+        return _report_error(program, str(error))
     try:
-        run_until_complete(_run_connected(settings, work))
+        run_until_complete(_run_connected(settings, command))
     except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
-        return report_error(f"the state service at {settings.outside.state} gives no answer: {error}")
+        message = f"the state service at {settings.outside.state} gives no answer: {error}"
+        return _report_error(program, message)
     except ConflictError as error:
-        return report_error(f"changed meanwhile, run it again: {error}")
+        return _report_error(program, f"changed meanwhile, run it again: {error}")
     return 0
 
 
-async def _run_connected(settings: Settings, work: Callable[[StoreClient], Awaitable[None]]) -> None:
+def _report_error(program: str, message: str) -> int:
+    print(f"{program}: {message}", file=sys.stderr)
+    return EXIT_FAILURE
+
+
+async def _run_connected(settings: Settings, command: StoreCommand) -> None:
+    # Importing the reactor installs it, which must not happen before the command runs.
     from twisted.internet import reactor
 
     from meadowcross.common.http import HttpClient
     from meadowcross.common.types import Address
 
     clock: Any = reactor
-    await work(StoreClient(clock, HttpClient(clock), Address(settings.outside.state), settings.facts.state))
+    await command(StoreClient(clock, HttpClient(clock), Address(settings.outside.state), settings.facts.state))
--- a/meadowcross/store/group_commit.py
+++ b/meadowcross/store/group_commit.py
@@ -1,7 +1,7 @@
-"""Group commit: one leader transaction in flight, rebuilt until its outcome is known.
+"""Group commit: the leader's writes in one transaction at a time, retried until its outcome is known.
 
-Units are rebuilt from memory at each try, so a retry stores what is true now. Each
-carries the versions it rests on; a transaction that is applied late fails on them.
+Writes are built anew from memory at each try, so that a retry stores what is true then. Each carries the revisions
+that it rests on as conditions: a transaction that the service applies late fails on them.
 """
 
 from __future__ import annotations
@@ -9,12 +9,13 @@
 from collections.abc import Awaitable, Callable, Hashable, Sequence
 from dataclasses import dataclass
 from threading import Lock
+from typing import NamedTuple
 
 from twisted.internet.defer import Deferred
 
 from meadowcross.common.clock import Clock, pause
 from meadowcross.common.logging import get_logger
-from meadowcross.common.types import Revision, Seconds
+from meadowcross.common.types import Instant, Revision, Seconds
 from meadowcross.store.client import (
     ConflictError,
     IndeterminateResultError,
@@ -22,59 +23,128 @@
     StoreClient,
     StoreUnavailableError,
 )
-from meadowcross.store.messages import Condition, Delete, Put
+from meadowcross.store.messages import Change, Condition, Put
 from meadowcross.store.token_bucket import RequestPriority
 
 log = get_logger("store")
 
 MAX_TRANSACTION_BYTES = 56 * 1024
+CHANGE_OVERHEAD_BYTES = 40
+"""What a change takes on the wire beside its key and value, at the most."""
 BACKGROUND_DELAY_S: Seconds = 0.25
+CLOCK_TOLERANCE_S: Seconds = 1e-3
 CONFLICTS_BEFORE_PAUSE = 2
+CONFLICT_PAUSE_S: Seconds = 0.02
+FAILURE_PAUSE_S: Seconds = 0.05
+MAX_PAUSE_S: Seconds = 0.5
+ERROR_PAUSE_S: Seconds = 1.0
 
 
 @dataclass(slots=True)
 class Write:
-    """One unit's part of a transaction."""
+    """Changes that are stored together, the conditions they rest on, and what to call with their revision."""
 
     conditions: list[Condition]
-    changes: list[Put | Delete]
+    changes: list[Change]
     on_stored: Callable[[Revision], None]
 
     def estimate_bytes(self) -> int:
-        return sum(len(c.key) + 40 + (len(bytes(c.value)) if isinstance(c, Put) else 0) for c in self.changes)
+        """Return an upper bound of the changes' size in a transaction."""
+        return sum(
+            len(change.key) + CHANGE_OVERHEAD_BYTES + (len(bytes(change.value)) if isinstance(change, Put) else 0)
+            for change in self.changes
+        )
 
 
 WriteFactory = Callable[[], Write | None]
+"""Builds a write from the present state; None if there is nothing left to store."""
+
+
+class _BatchedWrite(NamedTuple):
+    write_id: Hashable
+    factory: WriteFactory
+    write: Write
+    is_urgent: bool
+
+
+class _Batch:
+    """The writes of one transaction, within the limits of the state service."""
+
+    def __init__(self, leader_condition: Condition, max_changes: int, max_conditions: int) -> None:
+        self.writes: list[_BatchedWrite] = []
+        self.changes: list[Change] = []
+        self._conditions: dict[str, Condition] = {leader_condition.key: leader_condition}
+        self._size_bytes = 0
+        self._max_changes = max_changes
+        self._max_conditions = max_conditions
+
+    def conditions(self) -> list[Condition]:
+        """Return the conditions of all writes, one for each key."""
+        return list(self._conditions.values())
+
+    def has_room_for(self, write: Write) -> bool:
+        """Whether the write fits; a first write always does, since it must be tried anyway."""
+        return not self.writes or (
+            len(self.changes) + len(write.changes) <= self._max_changes
+            and len(self._conditions) + len(write.conditions) <= self._max_conditions
+            and self._size_bytes + write.estimate_bytes() <= MAX_TRANSACTION_BYTES
+        )
+
+    def add(self, batched: _BatchedWrite) -> None:
+        """Add a write to the transaction."""
+        write = batched.write
+        self.writes.append(batched)
+        self.changes.extend(write.changes)
+        self._conditions.update((condition.key, condition) for condition in write.conditions)
+        self._size_bytes += write.estimate_bytes()
+
+    def priority(self) -> RequestPriority:
+        """Return the priority of the transaction: that of its most urgent write."""
+        is_urgent = any(batched.is_urgent for batched in self.writes)
+        return RequestPriority.PLACEMENT if is_urgent else RequestPriority.BACKGROUND
 
 
 class GroupCommitter:
+    """Stores the leader's writes, urgent ones at once and the others after a short delay.
+
+    Every transaction carries `leader_condition`, so that none succeeds after another leader was elected.
+    `reread_keys` must bring the caller's known revisions up to date for the keys named; `on_written` is called
+    with all changes of a transaction before its writes' own callbacks.
+    """
+
     def __init__(
         self,
         clock: Clock,
         store: StoreClient,
         leader_condition: Condition,
         reread_keys: Callable[[list[str]], Awaitable[None]],
-        on_written: Callable[[Revision, Sequence[Put | Delete]], None] = lambda mark, changes: None,
+        on_written: Callable[[Revision, Sequence[Change]], None] = lambda revision, changes: None,
     ) -> None:
-        self._on_written = on_written
         self._clock = clock
         self._store = store
         self._leader_condition = leader_condition
         self._reread_keys = reread_keys
+        self._on_written = on_written
         self._lock = Lock()
         self._urgent: dict[Hashable, WriteFactory] = {}
         self._background: dict[Hashable, WriteFactory] = {}
-        self._background_since: float | None = None
+        self._background_since: Instant | None = None
         self._wake: Deferred[None] | None = None
         self._is_stopped = False
         self._commits_singly = False
         self._is_busy = False
 
     def stop(self) -> None:
+        """End `run` after the transaction in flight; queued writes are not stored."""
         self._is_stopped = True
         self._notify()
 
+    def is_idle(self) -> bool:
+        """Whether no transaction is in flight or being retried, so that the outcome of all is known."""
+        return not self._is_busy
+
     def enqueue(self, write_id: Hashable, write_factory: WriteFactory, is_urgent: bool) -> None:
+        """Queue a write, once for each id until it is stored."""
         with self._lock:
             if write_id in self._urgent:
                 return
@@ -83,29 +153,12 @@
                 self._urgent[write_id] = write_factory
             elif write_id not in self._background:
                 self._background[write_id] = write_factory
-                if self._background_since is None:
-                    self._background_since = self._clock.seconds()
-                    self._clock.callLater(BACKGROUND_DELAY_S, self._notify)
+                self._schedule_background()
         if is_urgent:
             self._notify()
 
-    def _notify(self) -> None:
-        wake, self._wake = self._wake, None
-        if wake is not None:
-            wake.callback(None)
-
-    def is_idle(self) -> bool:
-        """Whether nothing is being written, so that all that was is known to be stored or not."""
-        return not self._is_busy
-
-    def _is_due(self) -> bool:
-        is_background_due = (
-            self._background_since is not None
-            and self._clock.seconds() - self._background_since >= BACKGROUND_DELAY_S - 1e-3
-        )
-        return bool(self._urgent) or is_background_due
-
     async def run(self) -> None:
+        """Store what is queued until stopped."""
         failures = conflicts = 0
         while not self._is_stopped:
             if not self._is_due():
@@ -118,84 +171,106 @@
                 failures = 0
                 self._is_busy = False
                 if conflicts > CONFLICTS_BEFORE_PAUSE:
-                    # Each conflict is followed by a re-read, so units of their own may conflict one after the other.
-                    # One that conflicts for ever would ask the store as fast as the budget lets it.
-                    await pause(self._clock, min(0.02 * 2 ** (conflicts - CONFLICTS_BEFORE_PAUSE), 0.5))
+                    # Each conflict is followed by a re-read, so different writes may conflict one after the other.
+                    # A write that conflicts for ever must not use up the rate share.
+                    await pause(self._clock, _backoff_s(CONFLICT_PAUSE_S, conflicts - CONFLICTS_BEFORE_PAUSE))
             except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
                 failures += 1
-                log.debug("commit waits: %s", error)
-                await pause(self._clock, min(0.05 * 2**failures, 0.5))
+                log.debug("commit delayed failures=%d error=%s", failures, error)
+                await pause(self._clock, _backoff_s(FAILURE_PAUSE_S, failures))
             except Exception:
+                # A fault in one write must not end the storing of the others.
                 log.exception("commit failed")
-                await pause(self._clock, 1.0)
+                await pause(self._clock, ERROR_PAUSE_S)
 
-    def _collect_batch(
-        self,
-    ) -> tuple[dict[Hashable, tuple[WriteFactory, Write, bool]], list[Condition], list[Put | Delete]]:
-        """Urgent units first, then the others, up to a transaction's limits."""
-        batch: dict[Hashable, tuple[WriteFactory, Write, bool]] = {}
-        conditions: dict[str, Condition] = {self._leader_condition.key: self._leader_condition}
-        changes: list[Put | Delete] = []
-        size_bytes = 0
+    def _notify(self) -> None:
+        wake, self._wake = self._wake, None
+        if wake is not None:
+            wake.callback(None)
+
+    def _schedule_background(self) -> None:
+        """Wake the loop once background writes are due. The lock must be held."""
+        if self._background and self._background_since is None:
+            self._background_since = Instant(self._clock.seconds())
+            self._clock.callLater(BACKGROUND_DELAY_S, self._notify)
+
+    def _is_due(self) -> bool:
+        if self._urgent:
+            return True
+        if self._background_since is None:
+            return False
+        return self._clock.seconds() - self._background_since >= BACKGROUND_DELAY_S - CLOCK_TOLERANCE_S
+
+    def _collect_batch(self) -> _Batch:
+        """Take writes off the queues, urgent ones first, up to a transaction's limits."""
+        batch = _Batch(self._leader_condition, self._store.max_changes, self._store.max_conditions)
         with self._lock:
-            for queue, is_urgent in ((self._urgent, True), (self._background, False)):
-                for write_id in list(queue):
-                    write = queue[write_id]()
-                    if write is None or not write.changes:
-                        del queue[write_id]
-                        continue
-                    if batch and (
-                        self._commits_singly
-                        or len(changes) + len(write.changes) > self._store.max_changes
-                        or len(conditions) + len(write.conditions) > self._store.max_conditions
-                        or size_bytes + write.estimate_bytes() > MAX_TRANSACTION_BYTES
-                    ):
-                        break
-                    batch[write_id] = (queue.pop(write_id), write, is_urgent)
-                    conditions.update((c.key, c) for c in write.conditions)
-                    changes.extend(write.changes)
-                    size_bytes += write.estimate_bytes()
+            self._fill_batch(batch, self._urgent, is_urgent=True)
+            self._fill_batch(batch, self._background, is_urgent=False)
             if not self._background:
                 self._background_since = None
-        return batch, list(conditions.values()), changes
+        return batch
+
+    def _fill_batch(self, batch: _Batch, queue: dict[Hashable, WriteFactory], is_urgent: bool) -> None:
+        for write_id, factory in list(queue.items()):
+            write = factory()
+            if write is None or not write.changes:
+                del queue[write_id]
+                continue
+            if (self._commits_singly and batch.writes) or not batch.has_room_for(write):
+                return
+            del queue[write_id]
+            batch.add(_BatchedWrite(write_id, factory, write, is_urgent))
 
     async def _commit_batch(self) -> bool:
-        """Store what is due, if anything is; False: a condition did not hold."""
-        batch, conditions, changes = self._collect_batch()
-        if not batch:
+        """Store what is due, if anything is; return False if a condition did not hold."""
+        batch = self._collect_batch()
+        if not batch.writes:
             return True
-        is_stored = False
+        conditions = batch.conditions()
+        revision: Revision | None = None
         try:
-            is_urgent = any(was_urgent for _, _, was_urgent in batch.values())
-            revision = await self._store.transact(
-                conditions, changes, RequestPriority.PLACEMENT if is_urgent else RequestPriority.BACKGROUND
-            )
-            is_stored = True
+            revision = await self._store.transact(conditions, batch.changes, batch.priority())
             self._commits_singly = False
-            self._on_written(revision, changes)
+            self._on_written(revision, batch.changes)
         except ConflictError as conflict:
             await self._reread_keys(conflict.failed_keys)
         except IndeterminateResultError:
-            # It may still be applied late; every unit's own version is a condition, so
-            # after this re-read either it is seen, or our retry makes it fail. One comparison tells what to read: all
-            # of it, key by key, kept a leader from placing for seconds while the state service was slow.
-            changed_keys = await self._store.find_changed_keys(conditions, RequestPriority.PLACEMENT)
-            await self._reread_keys([c.key for c in conditions if c.key in changed_keys])
+            await self._reread_changed(conditions)
             raise
         except RequestRejectedError:
-            # One unit that the service refuses must not hold up the others.
+            # A write that the service rejects must not hold up the others.
             self._commits_singly = True
             raise
         finally:
-            if not is_stored:
-                with self._lock:
-                    for write_id, (write_factory, _, was_urgent) in batch.items():
-                        (self._urgent if was_urgent else self._background).setdefault(write_id, write_factory)
-                    if self._background and self._background_since is None:
-                        self._background_since = self._clock.seconds()
-                        # Else a failed unit that nothing follows would wait for ever.
-                        self._clock.callLater(BACKGROUND_DELAY_S, self._notify)
-        if is_stored and not self._is_stopped:
-            for _, write, _ in batch.values():
-                write.on_stored(revision)
-        return is_stored
+            if revision is None:
+                self._requeue(batch)
+        if revision is None:
+            return False
+        if not self._is_stopped:
+            for batched in batch.writes:
+                batched.write.on_stored(revision)
+        return True
+
+    async def _reread_changed(self, conditions: Sequence[Condition]) -> None:
+        """Find out what became of a transaction without an answer.
+
+        It may still be applied late. Each write has its own key's revision as a condition, so after this either the
+        transaction is visible or the retry makes it fail. One comparison tells which keys to read: reading all of
+        them kept a leader from placing for seconds while the state service was slow.
+        """
+        changed_keys = await self._store.find_changed_keys(conditions, RequestPriority.PLACEMENT)
+        await self._reread_keys([condition.key for condition in conditions if condition.key in changed_keys])
+
+    def _requeue(self, batch: _Batch) -> None:
+        """Queue the writes of a failed transaction again, unless they were queued anew meanwhile."""
+        with self._lock:
+            for batched in batch.writes:
+                queue = self._urgent if batched.is_urgent else self._background
+                queue.setdefault(batched.write_id, batched.factory)
+            # Otherwise a failed write that no other follows would wait for ever.
+            self._schedule_background()
+
+
+def _backoff_s(first_s: Seconds, exponent: int) -> Seconds:
+    return min(first_s * 2.0**exponent, MAX_PAUSE_S)
--- a/meadowcross/store/messages.py
+++ b/meadowcross/store/messages.py
@@ -1,4 +1,4 @@
-"""What the state service and a node exchange; its wire names stay in this file."""
+"""Messages between the state service and a node. The service's field names stay in this module."""
 
 from __future__ import annotations
 
@@ -11,6 +11,8 @@
 
 
 class Item(Struct):
+    """A stored key with its value; `mod_revision` is the revision of its last change."""
+
     key: str
     value: Raw = field(name="data")
     mod_revision: Revision = field(name="mark")
@@ -18,26 +20,34 @@
 
 
 class Page(Struct):
+    """Part of a listing, in key order."""
+
     items: list[Item]
     revision: Revision = field(name="ledger")
     has_more: bool = field(name="hasNext", default=False)
 
 
 class RevisionResponse(Struct):
+    """The answer to a transaction that was applied, with the revision of its changes."""
+
     revision: Revision = field(name="ledger")
 
 
 class ConflictResponse(Struct):
+    """The answer to a transaction that was not applied, with the keys whose conditions failed."""
+
     failed_keys: list[str] = field(name="failed", default_factory=list)
     revision: Revision | None = field(name="ledger", default=None)
 
 
 class LeaseResponse(Struct):
+    """The answer to a request for a lease."""
+
     lease_id: LeaseId = field(name="tether")
 
 
 class Event(Struct):
-    """A change seen by a watch: a write with its value, or a drop."""
+    """A change reported by a watch: a key that was written, with its value, or one that was deleted."""
 
     written_key: str | None = field(name="write", default=None)
     deleted_key: str | None = field(name="drop", default=None)
@@ -46,37 +56,51 @@
 
     @property
     def key(self) -> str:
+        """The key that changed."""
         return self.written_key or self.deleted_key or ""
 
 
 class WatchResponse(Struct):
+    """Changes since the watched revision, and the revision up to which they are complete."""
+
     revision: Revision = field(name="ledger")
     events: list[Event] = field(name="news", default_factory=list)
 
 
 class Condition(Struct, frozen=True):
-    """The key must have this version; 0: it must not exist."""
+    """Requires that a key was last changed at this revision; 0: that it does not exist."""
 
     key: str
     mod_revision: Revision = field(name="mark")
 
 
 class Put(Struct, omit_defaults=True, frozen=True):
+    """Writes a key, which is deleted when its lease ends, if it has one."""
+
     key: str = field(name="write")
     value: Raw = field(name="data")
     lease_id: LeaseId | None = field(name="tether", default=None)
 
 
 class Delete(Struct, frozen=True):
+    """Deletes a key."""
+
     key: str = field(name="drop")
 
 
+Change = Put | Delete
+
+
 class Transaction(Struct):
+    """Changes that are applied together if all conditions hold."""
+
     conditions: list[Condition] = field(name="if")
     changes: list[Put | Delete | dict[str, Any]] = field(name="writes")
 
 
 class LeaseRequest(Struct):
+    """Asks for a lease that ends unless it is renewed within its time to live."""
+
     ttl_ms: int = field(name="ttlMs")
 
 
@@ -84,6 +108,7 @@
 
 
 def encode_raw(value: Any) -> Raw:
+    """Encode a value to be stored."""
     return Raw(encode(value))
 
 
--- a/meadowcross/store/rate_shares.py
+++ b/meadowcross/store/rate_shares.py
@@ -1,29 +1,34 @@
-"""How the nodes of a cluster divide the state service's limits among themselves."""
+"""How the nodes of a cluster divide the state service's rate limits among themselves.
+
+Shares are parts of the limits, between 0 and 1.
+"""
 
 from __future__ import annotations
 
 LEADER_SHARE = 0.6
 RECOVERY_SHARE = 0.8
-"""Of a leader while it writes lost data back."""
+"""The leader's share while it writes lost data back."""
 MAX_BORROWED_SHARE = 0.2
 RESERVED_SHARE = 0.1
-"""The leader may need more before it has told of it."""
+"""Part of the leader's share that is never lent: its use may rise before its next heartbeat reports it."""
 MIN_BURST_SHARE = 0.2
-"""Of a second's worth: what a node may use at once, however small its share. Users' submissions come in bursts, which
-queued for seconds at five nodes; where all burst at once, refusals shrink the budgets."""
+"""Part of one second's limit that a node may use at once, however small its share. Submissions come in bursts: with
+smaller ones they queued for seconds in a cluster of five, with larger ones the rejections made all nodes back off."""
 
 
 def follower_share(node_count: int) -> float:
-    """What each of the others may use, so that all nodes together promise the limits once.
+    """Return the share of each follower, so that all shares of the cluster's `node_count` nodes sum up to 1.
 
-    `nodes` counts the whole cluster. With fixed shares of 20 % five nodes promised 140 % of the limits.
+    With fixed shares of 20 %, five nodes used up to 140 % of the limits.
     """
     return (1.0 - LEADER_SHARE) / max(1, node_count - 1)
 
 
 def follower_share_with_borrowed(node_count: int, leader_used: float) -> float:
-    """What each of the others may use while the leader uses this part of the limits: what the leader leaves of its own
-    share is lent to them in equal parts, up to what each of three nodes has anyway, and never less than their own."""
+    """Return a follower's share including what it may borrow while the leader uses `leader_used` of the limits.
+
+    What the leader leaves of its share is lent in equal parts, up to `MAX_BORROWED_SHARE` in all.
+    """
     borrowed = max(0.0, LEADER_SHARE - RESERVED_SHARE - leader_used) / max(1, node_count - 1)
     own = follower_share(node_count)
     return max(own, min(MAX_BORROWED_SHARE, own + borrowed))
--- a/meadowcross/store/request_counter.py
+++ b/meadowcross/store/request_counter.py
@@ -1,4 +1,4 @@
-"""Counts a node's requests to the state service by cause, for the log."""
+"""Counts a node's requests to the state service by cause, for the debug log."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RequestCause(NamedTuple):
-    """What a request is for: its method, the endpoint, the family of keys that it names, and its urgency."""
+    """What a request is for: its method, endpoint, the family of keys that it names, and its priority."""
 
     method: str
     endpoint: str
@@ -29,14 +29,15 @@
 
 
 def classify_request(method: str, path: str, priority: RequestPriority) -> RequestCause:
-    """The cause of a request as its path tells it: `/kv/j/wk-1` and `/kv?under=j/` both concern `j`."""
+    """Return the cause of a request by its path: `/kv/j/wk-1` and `/kv?under=j/` both belong to the family `j`."""
     endpoint, _, query = path.partition("?")
     parts = endpoint.split("/")
     key_family = ""
     if len(parts) > 2 and parts[1] == "kv":
         key_family = parts[2]
     elif query.startswith("under="):
-        key_family = query.removeprefix("under=").partition("&")[0].partition("/")[0] or "all"
+        prefix = query.removeprefix("under=").partition("&")[0]
+        key_family = prefix.partition("/")[0] or "all"
     return RequestCause(method, parts[1], key_family, priority)
 
 
@@ -49,13 +50,13 @@
         self._logged_at = Instant(clock.seconds())
 
     def count(self, method: str, path: str, priority: RequestPriority) -> None:
-        """Note one request; costs nothing but a comparison unless the log is at debug."""
+        """Count one request; a single comparison unless the log is at debug."""
         if not log.isEnabledFor(DEBUG):
             return
         self._counts[classify_request(method, path, priority)] += 1
         now = Instant(self._clock.seconds())
         if now - self._logged_at >= LOG_EVERY_S:
-            log.debug("requests in %.1f s: %s", now - self._logged_at, self)
+            log.debug("store requests elapsed_s=%.1f counts=%s", now - self._logged_at, self)
             self._counts.clear()
             self._logged_at = now
 
--- a/meadowcross/store/token_bucket.py
+++ b/meadowcross/store/token_bucket.py
@@ -1,25 +1,27 @@
-"""Request budgets: token buckets, urgent callers first."""
+"""Rate limiting by token buckets whose waiters are served by priority."""
 
 from __future__ import annotations
 
 from collections import deque
 from enum import IntEnum
 from threading import Lock
+from typing import NamedTuple
 
 from twisted.internet.defer import Deferred
 
 from meadowcross.common.clock import Clock
-from meadowcross.common.types import Seconds
+from meadowcross.common.types import Instant, Seconds
 
 USAGE_WINDOW_S: Seconds = 0.9
+"""The shortest time over which the used rate is measured."""
 MIN_RATE_FACTOR = 0.25
 BACK_OFF_FACTOR = 0.75
 RECOVERY_PER_S = 0.02
-"""Of the rate: refused, a budget gives up a quarter of it at once, and has all of it back after some ten seconds."""
+"""Part of the full rate regained each second: after one back-off it takes some ten seconds to recover."""
 
 
 class RequestPriority(IntEnum):
-    """What goes first when a budget is short."""
+    """The order in which waiting requests are served; the lowest number goes first."""
 
     LEADERSHIP = 0
     USER = 1
@@ -27,91 +29,103 @@
     BACKGROUND = 3
 
 
+class _Waiter(NamedTuple):
+    amount: float
+    ready: Deferred[None]
+
+
 class TokenBucket:
-    """A bucket of `burst` refilled at `rate` a second; waiters queue by urgency."""
+    """A bucket that holds at most `burst` tokens and is refilled at `rate` tokens a second."""
 
     def __init__(self, clock: Clock, rate: float, burst: float) -> None:
         self._clock = clock
         self._full_rate = rate
         self._rate_factor = 1.0
         self._acquired = 0.0
-        self._acquired_since = clock.seconds()
+        self._acquired_since = Instant(clock.seconds())
         self._last_used_rate = 0.0
         self._burst = max(burst, 1.0)
         self._available = self._burst
-        self._refilled_at = clock.seconds()
+        self._refilled_at = Instant(clock.seconds())
         self._lock = Lock()
-        self._waiters: dict[RequestPriority, deque[tuple[float, Deferred[None]]]] = {
-            u: deque() for u in RequestPriority
-        }
+        self._waiters: dict[RequestPriority, deque[_Waiter]] = {priority: deque() for priority in RequestPriority}
         self._is_service_scheduled = False
 
-    def _refill(self) -> None:
-        now = self._clock.seconds()
-        elapsed_s = max(0.0, now - self._refilled_at)
-        self._rate_factor = min(1.0, self._rate_factor + elapsed_s * RECOVERY_PER_S)
-        self._available = min(self._burst, self._available + elapsed_s * self.rate)
-        self._refilled_at = now
+    @property
+    def rate(self) -> float:
+        """The present refill rate in tokens a second, after back-off."""
+        return self._full_rate * self._rate_factor
 
     def set_rate(self, rate: float) -> None:
-        """Another part of the shared limit is ours from now on; what is left, and what a refusal took, stays."""
+        """Change the full refill rate; available tokens and the back-off are kept."""
         with self._lock:
             self._refill()
             self._full_rate = rate
 
     def used_rate(self) -> float:
-        """Units a second that were taken, over the last whole second or more that somebody asked about."""
+        """Return the tokens acquired a second, measured between calls at least `USAGE_WINDOW_S` apart."""
         with self._lock:
-            elapsed_s = self._clock.seconds() - self._acquired_since
+            now = Instant(self._clock.seconds())
+            elapsed_s = now - self._acquired_since
             if elapsed_s >= USAGE_WINDOW_S:
                 self._last_used_rate = self._acquired / elapsed_s
-                self._acquired, self._acquired_since = 0.0, self._clock.seconds()
+                self._acquired = 0.0
+                self._acquired_since = now
             return self._last_used_rate
 
-    @property
-    def rate(self) -> float:
-        """Units a second that are given out now."""
-        return self._full_rate * self._rate_factor
-
     def try_acquire(self, amount: float = 1.0) -> bool:
-        """Take now or not at all; overdraws for an amount above the burst."""
+        """Acquire the tokens now or not at all. An amount above the burst overdraws a full bucket."""
         with self._lock:
             self._refill()
             if self._available < min(amount, self._burst):
                 return False
-            self._available -= amount
-            self._acquired += amount
+            self._withdraw(amount)
             return True
 
-    def drain(self) -> None:
-        """The other side says that the shared budget is spent."""
-        with self._lock:
-            self._refill()
-            self._available = min(self._available, 0.0)
-
-    def back_off(self) -> None:
-        """The same of a limit that other nodes use too: less of it is ours for a while."""
-        self.drain()
-        with self._lock:
-            self._rate_factor = max(MIN_RATE_FACTOR, self._rate_factor * BACK_OFF_FACTOR)
-
     def acquire(self, amount: float, priority: RequestPriority) -> Deferred[None]:
+        """Return a Deferred that fires once the tokens are acquired.
+
+        Requests for leadership overdraw the bucket: lease renewals are few and must never wait behind a backlog.
+        """
         ready: Deferred[None] = Deferred()
-        has_waiters_ahead = any(self._waiters[u] for u in RequestPriority if u <= priority)
         if priority is RequestPriority.LEADERSHIP:
-            # Renewals are few and must never wait behind a backlog.
             with self._lock:
                 self._refill()
-                self._available -= amount
-                self._acquired += amount
+                self._withdraw(amount)
             ready.callback(None)
-        elif not has_waiters_ahead and self.try_acquire(amount):
+        elif not self._has_waiters_up_to(priority) and self.try_acquire(amount):
             ready.callback(None)
         else:
-            self._waiters[priority].append((amount, ready))
+            self._waiters[priority].append(_Waiter(amount, ready))
             self._schedule_service()
         return ready
 
+    def drain(self) -> None:
+        """Discard the available tokens: the service reports that its limit is exhausted."""
+        with self._lock:
+            self._refill()
+            self._available = min(self._available, 0.0)
+
+    def back_off(self) -> None:
+        """Drain the bucket and lower its rate for a while, for a limit that other nodes use too."""
+        self.drain()
+        with self._lock:
+            self._rate_factor = max(MIN_RATE_FACTOR, self._rate_factor * BACK_OFF_FACTOR)
+
+    def _refill(self) -> None:
+        now = Instant(self._clock.seconds())
+        elapsed_s = max(0.0, now - self._refilled_at)
+        self._rate_factor = min(1.0, self._rate_factor + elapsed_s * RECOVERY_PER_S)
+        self._available = min(self._burst, self._available + elapsed_s * self.rate)
+        self._refilled_at = now
+
+    def _withdraw(self, amount: float) -> None:
+        self._available -= amount
+        self._acquired += amount
+
+    def _has_waiters_up_to(self, priority: RequestPriority) -> bool:
+        return any(self._waiters[other] for other in RequestPriority if other <= priority)
+
     def _schedule_service(self) -> None:
         if not self._is_service_scheduled:
             self._is_service_scheduled = True
@@ -122,9 +136,9 @@
         for priority in RequestPriority:
             queue = self._waiters[priority]
             while queue:
-                amount, ready = queue[0]
-                if not self.try_acquire(amount):
+                waiter = queue[0]
+                if not self.try_acquire(waiter.amount):
                     self._schedule_service()
                     return
                 queue.popleft()
-                ready.callback(None)
+                waiter.ready.callback(None)
