--- a/meadowcross/controller/controller.py
+++ b/meadowcross/controller/controller.py
@@ -8,6 +8,7 @@
 import os
 import sys
 import uuid
+from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
 import meadowcross
@@ -99,7 +100,9 @@
         from meadowcross.autoscaling.cloud import CloudClient
         from meadowcross.common.http import SHORT_IDLE_TIMEOUT_S, HttpClient, Router, ServerResponse
         from meadowcross.common.types import Address, FencingToken, JobId, NodeName, Revision, compose_token
-        from meadowcross.jobs.api import JobApi, RequestForwarder, StoreTrust
+        from meadowcross.jobs.admission import JobAdmission
+        from meadowcross.jobs.api import JobApi
+        from meadowcross.jobs.collaborators import JobEvents, LocalReplica, PeerQueries, RequestForwarder
         from meadowcross.jobs.messages import JobProgress
         from meadowcross.leadership.cancellation_broadcast import CancellationBroadcast
         from meadowcross.leadership.election import Election, Successor
@@ -449,33 +452,31 @@
             if follower is not None and operator.warm_standby >= 2
             else None
         )
+
+        def has_unknown_leader() -> bool:
+            """Whether somebody has shown the token of a leader that this node does not know."""
+            known = known_leader()
+            return store_epochs.highest_token > (known[1] if known is not None else FencingToken(0))
+
+        events = JobEvents(on_missing=on_job_missing, on_cancelled=cancellations.announce)
+        if follower is not None:
+            events = replace(events, on_accepted=follower.apply_submission)
         self.router = Router()
         api = JobApi(
             reactor,
             self.store,
-            facts.teams,
-            facts.zones,
-            self.machine_types.machine_types,
-            progress,
-            self.peer_link.peer_has_store,
-            self.peer_link.forward,
-            follower.get if follower is not None else lambda key: None,
-            lambda: follower.state.value if follower is not None else "off",
-            StoreTrust(
-                lambda: store_epochs.record is not None,
-                store_epochs.unavailable_reason,
-                store_epochs.may_unknown_job_exist,
-                leader_forwarder,
-                follower.apply_submission if follower is not None else lambda key, value, mark: None,
-                on_job_missing,
-                ask_peer_with_history,
-                lambda: (
-                    store_epochs.highest_token
-                    > (known[1] if (known := known_leader()) is not None else FencingToken(0))
-                ),
-                store_epochs.is_job_proven,
-                cancellations.announce,
+            JobAdmission(facts.teams, facts.zones, self.machine_types.machine_types),
+            PeerQueries(
+                progress=progress,
+                has_store=self.peer_link.peer_has_store,
+                forward=self.peer_link.forward,
+                leader_forwarder=leader_forwarder,
+                ask_peer_with_history=ask_peer_with_history,
+                has_unknown_leader=has_unknown_leader,
             ),
+            store_epochs,
+            LocalReplica(follower.get, lambda: follower.state.value) if follower is not None else LocalReplica(),
+            events,
         )
         api.add_routes(self.router)
         WorkerApi(heartbeat_handler, leader_name, heartbeat_tracker, store_epochs.observe_token, self.relay).add_routes(
--- a/meadowcross/jobs/api.py
+++ b/meadowcross/jobs/api.py
@@ -1,22 +1,33 @@
-"""The user API, served by any node: submit, query, cancel, readiness."""
+"""The user API, served by every node: submit, query, cancel, readiness."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
 
 import msgspec
 
-from meadowcross.autoscaling.messages import MachineType
 from meadowcross.common.clock import Clock
 from meadowcross.common.http import Router, ServerResponse, error_response
 from meadowcross.common.logging import get_logger
-from meadowcross.common.settings import Team
-from meadowcross.common.types import EPSILON, JobId, Revision, Seconds, WallTime
-from meadowcross.jobs import messages as m
-from meadowcross.jobs.job_reader import JobReader, OpenJob, ReplicaLookup
-from meadowcross.store import messages as sm
+from meadowcross.common.types import Instant, JobId, Seconds, WallTime
+from meadowcross.jobs.admission import JobAdmission
+from meadowcross.jobs.collaborators import JobEvents, LocalReplica, PeerQueries, RequestForwarder, StoreIntegrity
+from meadowcross.jobs.job_reader import JobReader, OpenJob, absence_conditions
+from meadowcross.jobs.messages import (
+    EndedRecord,
+    ForecastQuantiles,
+    JobProgress,
+    JobRecord,
+    JobResponse,
+    JobSpec,
+    JobState,
+    decode_record,
+    decode_spec,
+    encode,
+    ended_key,
+    open_key,
+)
 from meadowcross.store.client import (
     ConflictError,
     IndeterminateResultError,
@@ -24,162 +35,112 @@
     StoreClient,
     StoreUnavailableError,
 )
+from meadowcross.store.messages import Condition, Put, encode_raw
 from meadowcross.store.token_bucket import RequestPriority
 
 log = get_logger("jobs")
 
 RETRY_AFTER_S = 1
 CANCEL_WAIT_S: Seconds = 2.5
-"""A cancel waits so long for the end of its job; its user, for twice as long."""
+"""How long a request to cancel waits for the end of its job; its user waits for twice as long."""
+TRANSACTION_TIMEOUT_S: Seconds = 1.5
+UNREADY_AFTER_S: Seconds = 1.0
+"""A node that is cut off from the store for so long is no longer ready."""
 MAX_OPEN_REQUESTS = 300
 MAX_CANCEL_TRIES = 3
-
-ProgressSource = Callable[[JobId], Awaitable[m.JobProgress | None]]
-"""The leader's word on an open job; None where it is not known in time."""
-AcceptedListener = Callable[[str, msgspec.Raw, Revision], None]
-RequestForwarder = Callable[[str, str, bytes], Awaitable[ServerResponse | None]]
-"""A peer's answer to an operation, given the job's id where it is not in the body."""
+STORED_TASK_BYTES = 64
+"""The most that one task takes in a stored chunk."""
 
 
 def job_response(
     job: JobId,
-    state: m.JobState,
+    state: JobState,
     done: int,
     running: int,
     status: int = 200,
-    forecast_s: tuple[float, float, float] | None = None,
+    forecast_s: ForecastQuantiles | None = None,
 ) -> ServerResponse:
-    rounded_s = (
-        (round(forecast_s[0], 1), round(forecast_s[1], 1), round(forecast_s[2], 1)) if forecast_s is not None else None
-    )
-    return ServerResponse(status, m.encode(m.JobResponse(job, state, done, running, rounded_s)) + b"\n")
-
-
-def rejection_reason(spec: m.JobSpec, teams: dict[str, Team], types: list[MachineType], zones: list[str]) -> str | None:
-    """Why a well-formed job can never run (422), or None."""
-    team = teams.get(spec.team)
-    if team is None:
-        return f"unknown team {spec.team}"
-    known_zones = set(zones).union(*(t.zones for t in types))
-    if spec.zone is not None and spec.zone not in known_zones:
-        return f"unknown zone {spec.zone}"
-    fitting = [
-        t
-        for t in types
-        if (spec.types is None or t.name in spec.types)
-        and (spec.zone is None or spec.zone in t.zones)
-        and spec.cpus <= t.cpus + EPSILON
-        and spec.gpus <= t.gpus + EPSILON
-        and spec.memory_gb <= t.memory_gb + EPSILON
-    ]
-    if not fitting:
-        return "a task fits no allowed machine type"
-    at_once = 1 if spec.kind is m.JobKind.ARRAY else spec.tasks
-    for resource, needed, limit in (("cpus", spec.cpus, team.cpus_max), ("gpus", spec.gpus, team.gpus_max)):
-        if limit > 0 and needed * at_once > limit + EPSILON:
-            return f"needs more {resource} than the team's limit of {limit:g}"
-    zones_open = {spec.zone} if spec.zone is not None else set().union(*(t.zones for t in fitting))
-    # Half the tasks, rounded up, may be in one zone, so the rest needs another.
-    if spec.spread and spec.tasks > 1 and (spec.one_zone or len(zones_open) < 2):
-        return "the job's zones can't be spread"
-    return None
-
-
-async def _no_answer(job: JobId) -> ServerResponse | None:
-    return None
-
-
-@dataclass(frozen=True, slots=True)
-class StoreTrust:
-    """Whether the state service still holds what was stored in it, as far as requests need to know."""
-
-    is_epoch_known: Callable[[], bool] = lambda: True
-    """False only until it was read for the first time."""
-    closed_reason: Callable[[], str | None] = lambda: None
-    """Why no request can be served now."""
-    may_lack_jobs: Callable[[], bool] = lambda: False
-    leader_forwarder: Callable[[], RequestForwarder | None] = lambda: None
-    """How the leader is asked, while only it knows what was gathered of ended jobs."""
-    on_accepted: AcceptedListener = lambda key, value, mark: None
-    """Told of what was stored for users, ahead of the feed."""
-    on_missing: Callable[[JobId], None] = lambda job: None
-    """Told of a job that this node saw stored, and that the store does not know."""
-    ask_peer_with_history: Callable[[JobId], Awaitable[ServerResponse | None]] = _no_answer
-    """What a node that has followed the store for longer says of a job that the store does not know."""
-    has_unknown_leader: Callable[[], bool] = lambda: False
-    """Whether a worker has shown the token of a leader that we know nothing of: the state service elected it, so
-    there is no outage of all, even where no peer can tell us."""
-    is_known_by_workers: Callable[[JobId], bool] = lambda job: False
-    """Whether machines had tasks of a job whose submission is lost."""
-    on_cancelled: Callable[[JobId, Revision, bool], None] = lambda job, mark, unrecorded: None
-    """Told of a stored cancel whose tasks are not proven gone, for whoever leads: its version, and whether it is on no
-    record but the end's."""
+    """Return the answer that describes a job."""
+    rounded_s: ForecastQuantiles | None = None
+    if forecast_s is not None:
+        early_s, median_s, late_s = forecast_s
+        rounded_s = (round(early_s, 1), round(median_s, 1), round(late_s, 1))
+    return ServerResponse(status, encode(JobResponse(job, state, done, running, rounded_s)) + b"\n")
+
+
+def is_job_id(text: str) -> bool:
+    """Whether the text has the form of a job's id."""
+    prefix, _, number = text.partition("-")
+    return prefix == "wk" and number.isascii() and number.isdigit() and 6 <= len(number) <= 18
 
 
 class JobApi:
+    """Serves the users' requests from the store, or through a peer where only this node is cut off from it."""
+
     def __init__(
         self,
         clock: Clock,
         store: StoreClient,
-        teams: list[Team],
-        zones: list[str],
-        machine_types: Callable[[], list[MachineType]],
-        progress: ProgressSource,
-        peer_has_store: Callable[[], bool],
-        forward: RequestForwarder,
-        read_replica: ReplicaLookup = lambda key: None,
-        standby_state: Callable[[], str] = lambda: "off",
-        trust: StoreTrust | None = None,
+        admission: JobAdmission,
+        peers: PeerQueries,
+        integrity: StoreIntegrity,
+        replica: LocalReplica,
+        events: JobEvents,
     ) -> None:
-        self._trust = trust or StoreTrust()
         self._clock = clock
         self._store = store
-        self._teams = {team.name: team for team in teams}
-        self._zones = zones
-        self._machine_types = machine_types
-        self._progress = progress
-        self._peer_has_store = peer_has_store
-        self._forward = forward
-        self._reader = JobReader(clock, store, read_replica, self._trust.on_missing)
+        self._admission = admission
+        self._peers = peers
+        self._integrity = integrity
+        self._replica = replica
+        self._events = events
+        self._reader = JobReader(clock, store, replica.get, events.on_missing)
         self.on_ended_stored = self._reader.on_ended_stored
-        self._standby_state = standby_state
         self._open_requests = Counter[str]()
-        self._chunk_size = max(1, store.max_value_bytes // 64)
+        self._chunk_size = max(1, store.max_value_bytes // STORED_TASK_BYTES)
 
     def add_routes(self, router: Router) -> None:
-        router.add("POST", r"/v1/jobs", self._guarded("submit"))
-        router.add("GET", r"/v1/jobs/([^/]+)", self._guarded("query"))
-        router.add("POST", r"/v1/jobs/([^/]+)/withdraw", self._guarded("cancel"))
+        """Add the API's paths."""
+        router.add("POST", r"/v1/jobs", self.build_handler("submit"))
+        router.add("GET", r"/v1/jobs/([^/]+)", self.build_handler("query"))
+        router.add("POST", r"/v1/jobs/([^/]+)/withdraw", self.build_handler("cancel"))
         router.add("GET", r"/ready", self.ready)
 
-    def _guarded(self, operation: str) -> Callable[..., Awaitable[ServerResponse]]:
-        """Bounded work, and an immediate 503 where the store gives no answer."""
+    # Where a request is served
 
-        async def run(body: bytes, job: str = "") -> ServerResponse:
-            # By operation, so that a storm of questions keeps nobody from submitting.
+    def build_handler(self, operation: str) -> Callable[..., Awaitable[ServerResponse]]:
+        """Return the handler of an operation, which bounds its work and answers 503 at once without the store."""
+
+        async def handle(body: bytes, job: str = "") -> ServerResponse:
+            # The limit is by operation, so that many queries keep nobody from submitting.
             if self._open_requests[operation] >= MAX_OPEN_REQUESTS:
                 return error_response(503, "too many requests are open", RETRY_AFTER_S)
-            if (closed_reason := self._trust.closed_reason()) is not None:
-                return error_response(503, closed_reason, RETRY_AFTER_S)
+            if (unavailable_reason := self._integrity.unavailable_reason()) is not None:
+                return error_response(503, unavailable_reason, RETRY_AFTER_S)
             self._open_requests[operation] += 1
             try:
-                if (forward := self._trust.leader_forwarder()) is not None:
-                    return await self._forward_request(operation, job, body, forward)
-                answer = None if self._is_isolated() else await self.serve(operation, job, body)
-                if answer is None or (answer.status == 503 and self._is_isolated()):
-                    return await self._forward_request(operation, job, body)
-                return answer
+                return await self._serve_or_forward(operation, job, body)
             finally:
                 self._open_requests[operation] -= 1
 
-        return run
+        return handle
+
+    async def _serve_or_forward(self, operation: str, job: str, body: bytes) -> ServerResponse:
+        if (forward := self._peers.leader_forwarder()) is not None:
+            return await _forward_request(forward, operation, job, body)
+        if self._is_isolated():
+            return await _forward_request(self._peers.forward, operation, job, body)
+        response = await self.serve(operation, job, body)
+        if response.status == 503 and self._is_isolated():
+            return await _forward_request(self._peers.forward, operation, job, body)
+        return response
 
     def _is_isolated(self) -> bool:
-        """Whether the state service gives no answer to this node only."""
-        return self._store.failing_since is not None and (self._peer_has_store() or self._trust.has_unknown_leader())
+        """Whether the state service does not answer this node and does answer others."""
+        return self._store.failing_since is not None and (self._peers.has_store() or self._peers.has_unknown_leader())
 
     async def serve(self, operation: str, job: str, body: bytes) -> ServerResponse:
-        """By this node itself, for its own users or a peer's."""
+        """Serve a request by this node itself, for its own users or a peer's."""
         try:
             match operation:
                 case "submit":
@@ -189,175 +150,192 @@
                 case "cancel":
                     return await self.cancel(job)
         except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
-            log.debug("request refused: %s", error)
+            log.debug("request failed operation=%s job=%s error=%s", operation, job, error)
             return error_response(503, "the state service gives no answer", RETRY_AFTER_S)
         return error_response(404, "no such operation")
 
-    async def _forward_request(
-        self, operation: str, job: str, body: bytes, forward: RequestForwarder | None = None
-    ) -> ServerResponse:
-        """Only this node is without the store: a peer answers, until the load balancer has
-        noticed. Whatever was begun here may be repeated there, as by a user's retry."""
-        try:
-            body.decode()
-        except UnicodeDecodeError as error:
-            return error_response(400, str(error))
-        answer = await (forward or self._forward)(operation, job, body)
-        return answer or error_response(503, "nobody who can answer does", RETRY_AFTER_S)
-
-    def _unknown_job(self) -> ServerResponse:
-        """A job that the store does not know. After a loss, or before it is known that there was none, it may
-        have been accepted all the same: then nobody is told that it was not."""
-        if self._trust.may_lack_jobs():
-            return error_response(503, "the job is not known, and not all that was lost is", RETRY_AFTER_S)
-        return error_response(404, "no such job")
-
     def ready(self, body: bytes) -> ServerResponse:
-        if not self._machine_types():
+        """Answer the load balancer: 200 if users may be sent here, else 503.
+
+        In an outage of all nodes each stays ready and answers users at once when to come back; a node that alone is
+        cut off from the store does not, since users do better elsewhere.
+        """
+        if not self._admission.is_ready():
             return error_response(503, "machine types are not known yet", RETRY_AFTER_S)
-        if not self._trust.is_epoch_known():
+        if not self._integrity.is_known():
             return error_response(503, "the state service was not read yet", RETRY_AFTER_S)
         failing_since = self._store.failing_since
-        if failing_since is not None and self._clock.seconds() - failing_since > 1.0 and self._is_isolated():
-            # Only this node is without the store: users do better elsewhere. In an outage
-            # of all nodes it stays ready, and answers at once when to come back.
+        if (
+            failing_since is not None
+            and self._clock.seconds() - failing_since > UNREADY_AFTER_S
+            and self._is_isolated()
+        ):
             return error_response(503, "the state service does not answer this node", RETRY_AFTER_S)
-        return ServerResponse(200, b'{"ready":true,"standby":"%s"}\n' % self._standby_state().encode())
+        return ServerResponse(200, b'{"ready":true,"standby":"%s"}\n' % self._replica.state().encode())
+
+    # Submit
 
     async def submit(self, body: bytes) -> ServerResponse:
+        """Accept a job: 201, or 200 for a repeat; 400 if it is malformed, 422 if it can never run."""
         try:
-            spec = m.decode_spec(body)
+            spec = decode_spec(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             return error_response(400, str(error))
         job = JobId(spec.id)
-        machine_types = self._machine_types()
-        if not machine_types:
+        if not self._admission.is_ready():
             return error_response(503, "machine types are not known yet", RETRY_AFTER_S)
-        rejection = rejection_reason(spec, self._teams, machine_types, self._zones)
+        rejection = self._admission.rejection_reason(spec)
         if rejection is not None:
-            # A repeated submission of an accepted job is never refused.
+            # A repeated submission of an accepted job is never rejected.
             return await self._describe_job(job) or error_response(422, rejection)
         if (ended := self._reader.find_final(job)) is not None:
-            return job_response(job, ended.state, ended.task_count if ended.state is m.JobState.DONE else 0, 0)
-        record = m.JobRecord(spec, WallTime(self._clock.seconds()), self._chunk_size)
-        value = sm.encode_raw(record)
+            return _ended_response(job, ended)
+        value = encode_raw(JobRecord(spec, WallTime(self._clock.seconds()), self._chunk_size))
         if len(bytes(value)) > self._store.max_value_bytes:
             return error_response(400, "the job's description is too long")
+        return await self._store_submission(spec, value)
+
+    async def _store_submission(self, spec: JobSpec, value: msgspec.Raw) -> ServerResponse:
+        job = JobId(spec.id)
+        key = open_key(job)
         try:
             revision = await self._store.transact(
-                [sm.Condition(m.open_key(job), Revision(0)), sm.Condition(m.ended_key(job), Revision(0))],
-                [sm.Put(m.open_key(job), value)],
-                RequestPriority.USER,
-                1.5,
+                absence_conditions(job), [Put(key, value)], RequestPriority.USER, TRANSACTION_TIMEOUT_S
             )
         except ConflictError:
             return await self._describe_job(job) or error_response(503, "the job just changed", RETRY_AFTER_S)
         except IndeterminateResultError:
-            answer = await self._describe_job(job)
-            if answer is None:
+            response = await self._describe_job(job)
+            if response is None:
                 raise
-            return answer
+            return response
         self._reader.remember_open(job, revision, spec.tasks)
-        self._trust.on_accepted(m.open_key(job), value, revision)
-        log.info(
-            "job %s accepted: %s of %s, %s, %d tasks of %g CPUs and %g GB, about %.0f s, due after %.0f s",
-            job,
-            spec.job_class,
-            spec.team,
-            spec.priority.value,
-            spec.tasks,
-            spec.cpus,
-            spec.memory_gb,
-            spec.estimate_s,
-            spec.deadline_s or 0.0,
-        )
-        return job_response(job, m.JobState.PENDING, 0, 0, 201)
+        self._events.on_accepted(key, value, revision)
+        _log_accepted(spec)
+        return job_response(job, JobState.PENDING, 0, 0, 201)
+
+    # Query
+
+    async def query(self, job_text: str) -> ServerResponse:
+        """Describe a job: 200, or 404 if it was certainly never accepted."""
+        if not is_job_id(job_text):
+            return error_response(404, "no such job")
+        job = JobId(job_text)
+        response = await self._describe_job(job)
+        if response is not None:
+            return response
+        peer_response = await self._peers.ask_peer_with_history(job)
+        if peer_response is not None and peer_response.status == 200:
+            return peer_response
+        if self._integrity.is_job_proven(job):
+            # Its submission is lost, its tasks are not: it is neither unknown nor, without proof, over.
+            return job_response(job, JobState.RUNNING, 0, 0)
+        return self._unknown_job()
 
     async def _describe_job(self, job: JobId) -> ServerResponse | None:
-        # First the counts, for which the leader may take its time: the read decides, and nothing is waited for after
-        # it. A question so once got `pending` though its user had heard `cancelled` from another node meanwhile.
-        progress = await self._progress(job) if self._reader.find_final(job) is None else None
+        """Return the answer for a job that the store knows, else None.
+
+        The leader's counts are asked for first, for which it may take its time: the read decides the state, and
+        nothing is awaited after it. Otherwise the answer could be older than what another node told the user.
+        """
+        progress = await self._peers.progress(job) if self._reader.find_final(job) is None else None
         found = await self._reader.find(job)
         if found is None:
             return None
-        if isinstance(found, m.EndedRecord):
-            done = found.task_count if found.state is m.JobState.DONE else 0
-            return job_response(job, found.state, done, 0)
+        if isinstance(found, EndedRecord):
+            return _ended_response(job, found)
         if found.is_unrecorded:
-            # Who leads may have come since, and learns of it from nobody else.
-            self._trust.on_cancelled(job, found.mod_revision, True)
-            return job_response(job, m.JobState.RUNNING, 0, 0)
-        done, running, forecast_s = progress or m.JobProgress(0, 0)
-        # All tasks done but not yet stored as such: not done for the user.
-        done = min(done, found.task_count - 1) if running == 0 else done
-        return job_response(
-            job, m.JobState.RUNNING if running else m.JobState.PENDING, done, running, forecast_s=forecast_s
-        )
+            # The present leader may have been elected since, and learns of it from nobody else.
+            self._events.on_cancelled(job, found.mod_revision, True)
+            return job_response(job, JobState.RUNNING, 0, 0)
+        return _open_response(job, found, progress or JobProgress(0, 0))
 
-    async def query(self, job_text: str) -> ServerResponse:
-        if not is_job_id(job_text):
-            return error_response(404, "no such job")
-        job = JobId(job_text)
-        answer = await self._describe_job(job)
-        if (
-            answer is None
-            and (peer_answer := await self._trust.ask_peer_with_history(job)) is not None
-            and peer_answer.status == 200
-        ):
-            return peer_answer
-        if answer is None and self._trust.is_known_by_workers(job):
-            # Its submission is lost, its tasks are not: neither unknown nor, without proof, over.
-            return job_response(job, m.JobState.RUNNING, 0, 0)
-        return answer or self._unknown_job()
+    def _unknown_job(self) -> ServerResponse:
+        """Return the answer for a job that the store does not know.
+
+        After a loss, or before it is known that there was none, it may have been accepted all the same: then nobody
+        is told that it was not.
+        """
+        if self._integrity.may_unknown_job_exist():
+            return error_response(503, "the job is not known, and not all that was lost is", RETRY_AFTER_S)
+        return error_response(404, "no such job")
+
+    # Cancel
 
     async def cancel(self, job_text: str) -> ServerResponse:
-        job = JobId(job_text)
+        """Cancel a job: 200 with its final state once its tasks are proven gone, until then 503."""
         if not is_job_id(job_text):
             return error_response(404, "no such job")
-        deadline_at = self._clock.seconds() + CANCEL_WAIT_S
+        job = JobId(job_text)
+        deadline_at = Instant(self._clock.seconds() + CANCEL_WAIT_S)
         for _ in range(MAX_CANCEL_TRIES):
-            found = await self._reader.find(job)
-            if found is None and self._trust.is_known_by_workers(job):
-                try:
-                    return await self._cancel_unrecorded(job, deadline_at)
-                except (ConflictError, IndeterminateResultError):
-                    continue
-            if found is None:
+            response = await self._try_cancel(job, deadline_at)
+            if response is not None:
+                return response
+        return error_response(503, "the job is changing", RETRY_AFTER_S)
+
+    async def _try_cancel(self, job: JobId, deadline_at: Instant) -> ServerResponse | None:
+        """Cancel the job as it is read now; return None if that has to be tried again."""
+        found = await self._reader.find(job)
+        if found is None:
+            if not self._integrity.is_job_proven(job):
                 return self._unknown_job()
-            if isinstance(found, m.EndedRecord):
-                return job_response(job, found.state, 0, 0)
-            if found.is_cancelled:
-                return await self._await_cancellation(job, found, deadline_at)
-            item = await self._store.get(m.open_key(job))
-            if item is None:
-                continue
-            record = m.decode_record(item.value)
-            if record.cancelled_at is not None:
-                return await self._await_cancellation(job, self._reader.remember_open_item(job, item), deadline_at)
-            record.cancelled_at = WallTime(self._clock.seconds())
-            value = sm.encode_raw(record)
             try:
-                revision = await self._store.transact(
-                    [sm.Condition(m.open_key(job), item.mod_revision)],
-                    [sm.Put(m.open_key(job), value)],
-                    RequestPriority.USER,
-                    1.5,
-                )
+                return await self._cancel_unrecorded(job, deadline_at)
             except (ConflictError, IndeterminateResultError):
-                # Lost a race, or no answer: only a fresh read tells what the job is now.
-                continue
-            log.info("job %s cancelled", job)
-            self._trust.on_accepted(m.open_key(job), value, revision)
-            return await self._await_cancellation(
-                job, self._reader.remember_open(job, revision, record.spec.tasks, True), deadline_at
+                return None
+        if isinstance(found, EndedRecord):
+            return job_response(job, found.state, 0, 0)
+        if found.is_cancelled:
+            return await self._await_cancellation(job, found, deadline_at)
+        return await self._cancel_open(job, deadline_at)
+
+    async def _cancel_open(self, job: JobId, deadline_at: Instant) -> ServerResponse | None:
+        key = open_key(job)
+        item = await self._store.get(key)
+        if item is None:
+            return None
+        record = decode_record(item.value)
+        if record.cancelled_at is not None:
+            return await self._await_cancellation(job, self._reader.remember_open_item(job, item), deadline_at)
+        record.cancelled_at = WallTime(self._clock.seconds())
+        value = encode_raw(record)
+        try:
+            revision = await self._store.transact(
+                [Condition(key, item.mod_revision)], [Put(key, value)], RequestPriority.USER, TRANSACTION_TIMEOUT_S
             )
-        return error_response(503, "the job is changing", RETRY_AFTER_S)
+        except (ConflictError, IndeterminateResultError):
+            # A lost race, or no answer: only a fresh read tells what the job is now.
+            return None
+        log.info("job %s cancelled", job)
+        self._events.on_accepted(key, value, revision)
+        open_job = self._reader.remember_open(job, revision, record.spec.tasks, True)
+        return await self._await_cancellation(job, open_job, deadline_at)
+
+    async def _cancel_unrecorded(self, job: JobId, deadline_at: Instant) -> ServerResponse:
+        """Cancel a job whose submission is lost while workers run its tasks.
+
+        An end that is not proven is stored, so that the tasks are stopped as any ended job's are. The leader must
+        be told of it, since its watch does not report ended keys; it proves the end later.
+        """
+        ended = EndedRecord(JobState.CANCELLED, 0, is_proven=False)
+        revision = await self._store.transact(
+            absence_conditions(job),
+            [Put(ended_key(job), encode_raw(ended))],
+            RequestPriority.USER,
+            TRANSACTION_TIMEOUT_S,
+        )
+        log.info("job %s, known by its tasks only, cancelled", job)
+        open_job = OpenJob(revision, 0, is_cancelled=True, is_unrecorded=True)
+        return await self._await_cancellation(job, open_job, deadline_at)
 
-    async def _await_cancellation(self, job: JobId, open_job: OpenJob, deadline_at: float) -> ServerResponse:
-        """Its cancel is stored at this version, which is no end of it: its tasks may run on on a machine that hangs, or
-        that a leader keeps who knows nothing of it, and a start that was sent may still come about. Its user hears of
-        it once its end is stored, as all its tasks are proven gone; until then, that it is to be asked again."""
-        self._trust.on_cancelled(job, open_job.mod_revision, open_job.is_unrecorded)
+    async def _await_cancellation(self, job: JobId, open_job: OpenJob, deadline_at: Instant) -> ServerResponse:
+        """Answer once the end of a job is stored whose cancel is stored, or that it has to be asked again.
+
+        A stored cancel is no end: tasks may run on on a machine that hangs, or under a leader that does not know of
+        the cancel, and a start that was sent may still arrive. The end is stored once all tasks are proven gone.
+        """
+        self._events.on_cancelled(job, open_job.mod_revision, open_job.is_unrecorded)
         ended = await self._reader.wait_for_end(job, deadline_at - self._clock.seconds())
         if ended is None:
             log.info("job %s: its cancel is stored and not told yet, as its tasks are not proven gone", job)
@@ -365,21 +343,41 @@
         log.info("job %s: its user is told of the cancel", job)
         return job_response(job, ended.state, 0, 0)
 
-    async def _cancel_unrecorded(self, job: JobId, deadline_at: float) -> ServerResponse:
-        """Its submission is lost and machines run its tasks: an end that is not proven, so that they are stopped as
-        any job's that is over, once who leads knows, which then proves it. Its watch does not tell of ended keys: such
-        tasks once ran on for ever."""
-        ended = m.EndedRecord(m.JobState.CANCELLED, 0, False)
-        revision = await self._store.transact(
-            [sm.Condition(m.open_key(job), Revision(0)), sm.Condition(m.ended_key(job), Revision(0))],
-            [sm.Put(m.ended_key(job), sm.encode_raw(ended))],
-            RequestPriority.USER,
-            1.5,
-        )
-        log.info("job %s, known by its tasks only, cancelled", job)
-        return await self._await_cancellation(job, OpenJob(revision, 0, True, True), deadline_at)
-
 
-def is_job_id(text: str) -> bool:
-    prefix, _, number = text.partition("-")
-    return prefix == "wk" and number.isascii() and number.isdigit() and 6 <= len(number) <= 18
+async def _forward_request(forward: RequestForwarder, operation: str, job: str, body: bytes) -> ServerResponse:
+    """Let a peer answer. What was begun here may be repeated there, as by a user's retry."""
+    try:
+        body.decode()
+    except UnicodeDecodeError as error:
+        return error_response(400, str(error))
+    response = await forward(operation, job, body)
+    return response or error_response(503, "nobody who can answer does", RETRY_AFTER_S)
+
+
+def _ended_response(job: JobId, ended: EndedRecord) -> ServerResponse:
+    done_count = ended.task_count if ended.state is JobState.DONE else 0
+    return job_response(job, ended.state, done_count, 0)
+
+
+def _open_response(job: JobId, open_job: OpenJob, progress: JobProgress) -> ServerResponse:
+    done_count = progress.done_count
+    if progress.running_count == 0:
+        # If all tasks are done but the end is not stored, the job is not done for its user.
+        done_count = min(done_count, open_job.task_count - 1)
+    state = JobState.RUNNING if progress.running_count else JobState.PENDING
+    return job_response(job, state, done_count, progress.running_count, forecast_s=progress.forecast_s)
+
+
+def _log_accepted(spec: JobSpec) -> None:
+    log.info(
+        "job %s accepted: %s of %s, %s, %d tasks of %g CPUs and %g GB, about %.0f s, due after %.0f s",
+        spec.id,
+        spec.job_class,
+        spec.team,
+        spec.priority.value,
+        spec.tasks,
+        spec.cpus,
+        spec.memory_gb,
+        spec.estimate_s,
+        spec.deadline_s or 0.0,
+    )
--- a/meadowcross/jobs/job_reader.py
+++ b/meadowcross/jobs/job_reader.py
@@ -1,11 +1,9 @@
-"""What a job is now, by a fresh read that questions share.
-
-A non-final answer, or that a job is unknown, must rest on a read that began after the
-question came. One read may answer many: the questions that wait become one transaction
-without changes, which compares the versions that this node remembers; only jobs whose
-version has changed are read one by one, and many unknown ones by one range read.
-Asked one by one, a swarm's questions alone once spent a node's whole request budget, and
-submissions timed out behind them.
+"""The present state of a job, by fresh reads that several requests share.
+
+An answer that is not final, or that a job is unknown, must rest on a read that began after the request came. One read
+answers many requests: those that wait become one transaction without changes, which compares the revisions that this
+node remembers. Only jobs whose revision has changed are read one by one, and many unknown ones by one range read. When
+each request made a read of its own, polling users alone used up a node's request rate, and submissions timed out.
 """
 
 from __future__ import annotations
@@ -21,24 +19,33 @@
 
 from meadowcross.common.clock import Clock
 from meadowcross.common.types import JobId, Revision, Seconds
-from meadowcross.jobs import messages as m
-from meadowcross.store import messages as sm
+from meadowcross.jobs.messages import (
+    ENDED_PREFIX,
+    OPEN_PREFIX,
+    EndedRecord,
+    decode_ended,
+    decode_record,
+    ended_key,
+    open_key,
+)
 from meadowcross.store.client import StoreClient, StoreUnavailableError
+from meadowcross.store.messages import Condition, Item
 from meadowcross.store.token_bucket import RequestPriority
 
 BATCH_DELAY_S: Seconds = 0.02
-"""Questions are gathered for so long; a round is a request, so this also spaces requests."""
+"""Lookups are collected for so long. A batch is one request at least, so this also limits the rate of requests."""
 MAX_CONCURRENT_BATCHES = 2
-"""One may hang on a lost answer; the other goes on."""
+"""One may wait for an answer that is lost while the other goes on."""
 RANGE_READ_MIN_JOBS = 8
-"""So many unknown open jobs are cheaper to read as a range than one by one."""
+"""So many unknown jobs are cheaper to read as a range than one by one."""
+MAX_READ_TRIES = 2
 MAX_CACHED_JOBS = 5_000
 MAX_END_WAITERS = 500
-"""So many requests may wait for ends at once; the others are answered without."""
+"""So many requests may wait for ends at once; further ones are answered without waiting."""
 
 
 class OpenJob(NamedTuple):
-    """An open job as last read: its record's version and its number of tasks."""
+    """An open job as last read."""
 
     mod_revision: Revision
     task_count: int
@@ -49,16 +56,28 @@
 
 
 ABSENT_JOB = OpenJob(Revision(0), 0)
-"""Remembered of an id that was never submitted, as of the last read."""
+"""Cached for an id that was never submitted, as of the last read."""
+
+JobLookupResult = EndedRecord | OpenJob | None
 
-JobLookupResult = m.EndedRecord | OpenJob | None
+ReplicaLookup = Callable[[str], Item | None]
+"""Returns what this node's replica of the store holds under a key; it may lag behind the store."""
 
+_Batch = dict[JobId, list[Deferred[JobLookupResult]]]
+_Results = dict[JobId, JobLookupResult]
 
-ReplicaLookup = Callable[[str], sm.Item | None]
-"""What this node's picture of the store holds under a key; it may lag."""
+
+def absence_conditions(job: JobId) -> list[Condition]:
+    """Return the conditions that the job is neither open nor ended."""
+    return [Condition(open_key(job), Revision(0)), Condition(ended_key(job), Revision(0))]
 
 
 class JobReader:
+    """Looks up jobs in batches, and remembers final states and the revisions of open jobs.
+
+    `on_missing` is called with a job that this node's replica holds and the store does not know.
+    """
+
     def __init__(
         self,
         clock: Clock,
@@ -66,38 +85,31 @@
         read_replica: ReplicaLookup = lambda key: None,
         on_missing: Callable[[JobId], None] = lambda job: None,
     ) -> None:
-        self._on_missing = on_missing
-        self._read_replica = read_replica
         self._clock = clock
         self._store = store
+        self._read_replica = read_replica
+        self._on_missing = on_missing
         self._lock = Lock()
-        self._ended_cache: OrderedDict[JobId, m.EndedRecord] = OrderedDict()
+        self._ended_cache: OrderedDict[JobId, EndedRecord] = OrderedDict()
         self._open_cache: OrderedDict[JobId, OpenJob] = OrderedDict()
-        self._pending_lookups: dict[JobId, list[Deferred[JobLookupResult]]] = {}
-        self._end_waiters: dict[JobId, list[Deferred[m.EndedRecord]]] = {}
-        """Who waits for the end of a job to be stored."""
+        self._pending_lookups: _Batch = {}
+        self._end_waiters: dict[JobId, list[Deferred[EndedRecord]]] = {}
         self._running_batches = 0
         self._is_batch_scheduled = False
 
-    def find_final(self, job: JobId) -> m.EndedRecord | None:
+    # What is remembered
+
+    def find_final(self, job: JobId) -> EndedRecord | None:
+        """Return the job's final state if it is known here. Final states never change, so no read is needed."""
         with self._lock:
             ended = self._ended_cache.get(job)
-        if ended is None and (item := self._read_replica(m.ended_key(job))) is not None:
-            # A picture that lags may lack an end, but ends never change: no request is needed.
-            record = m.decode_ended(item.value)
+        if ended is None and (item := self._read_replica(ended_key(job))) is not None:
+            record = decode_ended(item.value)
             ended = self.remember_ended(job, record) if record.is_proven else None
         return ended
 
-    def _cached_open_job(self, job: JobId) -> OpenJob | None:
-        """The version to compare: as last read, or as followed."""
-        with self._lock:
-            open_job = self._open_cache.get(job)
-        if (open_job is None or open_job is ABSENT_JOB) and (item := self._read_replica(m.open_key(job))) is not None:
-            return self.remember_open_item(job, item)
-        return open_job
-
-    def remember_ended(self, job: JobId, record: m.EndedRecord) -> m.EndedRecord:
-        """Only final states may be answered from memory: they never change."""
+    def remember_ended(self, job: JobId, record: EndedRecord) -> EndedRecord:
+        """Cache a final state, which may be answered from memory, and answer who waits for it."""
         with self._lock:
             self._open_cache.pop(job, None)
             _remember(self._ended_cache, job, record)
@@ -106,46 +118,66 @@
             waiter.callback(record)
         return record
 
+    def remember_open(self, job: JobId, mod_revision: Revision, task_count: int, is_cancelled: bool = False) -> OpenJob:
+        """Cache the revision of an open job, to be compared with the store's and never answered from."""
+        open_job = OpenJob(mod_revision, task_count, is_cancelled)
+        with self._lock:
+            _remember(self._open_cache, job, open_job)
+        return open_job
+
+    def remember_open_item(self, job: JobId, item: Item) -> OpenJob:
+        """Cache an open job as just read."""
+        record = decode_record(item.value)
+        return self.remember_open(job, item.mod_revision, record.spec.tasks, record.cancelled_at is not None)
+
     def on_ended_stored(self, key: str, value: msgspec.Raw) -> None:
-        """An ended key was followed, or written by this node."""
-        job, record = JobId(key.removeprefix(m.ENDED_PREFIX)), m.decode_ended(value)
+        """Called when an ended key was followed, or written by this node."""
+        job, record = JobId(key.removeprefix(ENDED_PREFIX)), decode_ended(value)
         if record.is_proven and job in self._end_waiters:
             self.remember_ended(job, record)
 
-    async def wait_for_end(self, job: JobId, timeout_s: Seconds) -> m.EndedRecord | None:
-        """The job's end, if it is stored within this time. It is waited for where this node follows the store, and
-        read once at the last. Raises what the store client raises."""
+    def _cached_open_job(self, job: JobId) -> OpenJob | None:
+        """Return the revision to compare: as last read, or as the replica holds it."""
+        with self._lock:
+            open_job = self._open_cache.get(job)
+        if (open_job is None or open_job is ABSENT_JOB) and (item := self._read_replica(open_key(job))) is not None:
+            return self.remember_open_item(job, item)
+        return open_job
+
+    # Lookups
+
+    async def wait_for_end(self, job: JobId, timeout_s: Seconds) -> EndedRecord | None:
+        """Return the job's end if it is stored within this time, else None.
+
+        The end is learned from the replica's feed where there is one, and by one read at the end of the time. Raises
+        what the store client raises.
+        """
         if (ended := self.find_final(job)) is not None:
             return ended
         if timeout_s > 0 and sum(map(len, self._end_waiters.values())) < MAX_END_WAITERS:
-            waiter: Deferred[m.EndedRecord] = Deferred()
-            with self._lock:
-                self._end_waiters.setdefault(job, []).append(waiter)
-            waiter.addTimeout(timeout_s, self._clock)  # type: ignore[arg-type]
             try:
-                return await waiter
+                return await self._add_end_waiter(job, timeout_s)
             except DeferredTimeout:
-                with self._lock:
-                    remaining = [one for one in self._end_waiters.pop(job, []) if one is not waiter]
-                    if remaining:
-                        self._end_waiters[job] = remaining
+                pass
         found = await self.find(job)
-        return found if isinstance(found, m.EndedRecord) else None
+        return found if isinstance(found, EndedRecord) else None
 
-    def remember_open(self, job: JobId, mod_revision: Revision, task_count: int, is_cancelled: bool = False) -> OpenJob:
-        """Remembered to be compared, never to be answered from."""
-        open_job = OpenJob(mod_revision, task_count, is_cancelled)
+    async def _add_end_waiter(self, job: JobId, timeout_s: Seconds) -> EndedRecord:
+        waiter: Deferred[EndedRecord] = Deferred()
         with self._lock:
-            _remember(self._open_cache, job, open_job)
-        return open_job
-
-    def remember_open_item(self, job: JobId, item: sm.Item) -> OpenJob:
-        """An open key as just read."""
-        record = m.decode_record(item.value)
-        return self.remember_open(job, item.mod_revision, record.spec.tasks, record.cancelled_at is not None)
+            self._end_waiters.setdefault(job, []).append(waiter)
+        waiter.addTimeout(timeout_s, self._clock)  # type: ignore[arg-type]
+        try:
+            return await waiter
+        except DeferredTimeout:
+            with self._lock:
+                remaining = [other for other in self._end_waiters.pop(job, []) if other is not waiter]
+                if remaining:
+                    self._end_waiters[job] = remaining
+            raise
 
     def find(self, job: JobId) -> Deferred[JobLookupResult]:
-        """The job's state by a read that begins after this call."""
+        """Return the job's state by a read that begins after this call; None for one that was never accepted."""
         answer: Deferred[JobLookupResult] = Deferred()
         ended = self.find_final(job)
         if ended is not None:
@@ -163,8 +195,8 @@
 
     def _begin_batch(self) -> None:
         self._is_batch_scheduled = False
+        batch: _Batch = {}
         with self._lock:
-            batch: dict[JobId, list[Deferred[JobLookupResult]]] = {}
             # An absent job takes two conditions.
             while self._pending_lookups and len(batch) < self._store.max_conditions // 2:
                 job = next(iter(self._pending_lookups))
@@ -173,12 +205,13 @@
         Deferred.fromCoroutine(self._run_batch(batch))
         self._schedule_batch()
 
-    async def _run_batch(self, batch: dict[JobId, list[Deferred[JobLookupResult]]]) -> None:
-        results: dict[JobId, JobLookupResult] = {}
+    async def _run_batch(self, batch: _Batch) -> None:
+        results: _Results = {}
         failure: Exception = StoreUnavailableError("not read")
         try:
             await self._read_jobs(list(batch), results, lambda: _deliver_results(batch, results))
         except Exception as error:
+            # Whatever went wrong is the answer of all lookups without a result.
             failure = error
         finally:
             self._running_batches -= 1
@@ -188,90 +221,102 @@
             for answer in answers:
                 answer.errback(failure)
 
-    async def _read_jobs(
-        self, jobs: Iterable[JobId], results: dict[JobId, JobLookupResult], on_some_results: Callable[[], None]
-    ) -> None:
-        """Put into `found` what is found out; what a failing read leaves is unanswered. `some_found` is told before
-        more is read: an answer that waits for others' grows old."""
-        known = {job: open_job for job in jobs if (open_job := self._cached_open_job(job)) is not None}
-        conditions = []
-        for job, open_job in known.items():
-            conditions.append(sm.Condition(m.open_key(job), open_job.mod_revision))
+    async def _read_jobs(self, jobs: list[JobId], results: _Results, on_some_results: Callable[[], None]) -> None:
+        """Put the jobs' states into `results`; a failing read leaves some out.
+
+        `on_some_results` is called before more is read, so that answers do not grow old while others are awaited.
+        """
+        cached = {job: open_job for job in jobs if (open_job := self._cached_open_job(job)) is not None}
+        unread = await self._read_unchanged(jobs, cached, results)
+        on_some_results()
+        unknown = [job for job in unread if cached.get(job, ABSENT_JOB) is ABSENT_JOB]
+        if len(unknown) >= RANGE_READ_MIN_JOBS:
+            await self._read_range(unknown, results)
+        await _await_all(self._read_job(job, results) for job in unread if job not in results)
+
+    async def _read_unchanged(self, jobs: list[JobId], cached: dict[JobId, OpenJob], results: _Results) -> list[JobId]:
+        """Put the jobs that are as cached into `results`, by one comparison; return the others."""
+        conditions: list[Condition] = []
+        for job, open_job in cached.items():
             if open_job is ABSENT_JOB:
-                conditions.append(sm.Condition(m.ended_key(job), Revision(0)))
+                conditions.extend(absence_conditions(job))
+            else:
+                conditions.append(Condition(open_key(job), open_job.mod_revision))
         changed_keys = await self._store.find_changed_keys(conditions) if conditions else set()
-        unread = []
+        unread: list[JobId] = []
         for job in jobs:
+            cached_job = cached.get(job)
             if (ended := self.find_final(job)) is not None:
                 results[job] = ended
-                continue
-            cached_job = known.get(job)
-            if cached_job is None or m.open_key(job) in changed_keys or m.ended_key(job) in changed_keys:
+            elif cached_job is None or open_key(job) in changed_keys or ended_key(job) in changed_keys:
                 unread.append(job)
             else:
                 results[job] = None if cached_job is ABSENT_JOB else cached_job
-        on_some_results()
-        unknown = [job for job in unread if known.get(job, ABSENT_JOB) is ABSENT_JOB]
-        if len(unknown) >= RANGE_READ_MIN_JOBS:
-            items, _ = await self._store.list_items(m.OPEN_PREFIX, RequestPriority.USER)
-            by_key = {item.key: item for item in items}
-            for job in unknown:
-                item = by_key.get(m.open_key(job))
-                if item is not None:
-                    results[job] = self.remember_open_item(job, item)
-        await _await_all(self._read_job(job, results) for job in unread if job not in results)
+        return unread
 
-    async def _read_job(self, job: JobId, results: dict[JobId, JobLookupResult]) -> None:
-        """Jobs move from the open to the ended key in one transaction, so a job found under
-        neither, in this order, was never accepted. What was read is compared once more, under the era's condition and
-        with the store's count: a store that came back empty, or as it was before, knows no better."""
-        was_replicated = self._read_replica(m.open_key(job)) is not None
-        for _ in range(2):
-            item = await self._store.get(m.open_key(job))
+    async def _read_range(self, jobs: list[JobId], results: _Results) -> None:
+        """Put those of the jobs that are open into `results`, by listing all open jobs."""
+        listing = await self._store.list_items(OPEN_PREFIX, RequestPriority.USER)
+        items_by_key = {item.key: item for item in listing.items}
+        for job in jobs:
+            item = items_by_key.get(open_key(job))
             if item is not None:
-                if await self._is_unchanged([sm.Condition(m.open_key(job), item.mod_revision)]):
+                results[job] = self.remember_open_item(job, item)
+
+    async def _read_job(self, job: JobId, results: _Results) -> None:
+        """Put the job's state into `results`, read under its own keys.
+
+        Jobs move from the open to the ended key in one transaction, so a job found under neither, read in this order,
+        was never accepted. What was read is compared once more, under the store epoch's condition and with the
+        service's revision: a service that came back empty, or as it was before, must not be believed.
+        """
+        was_replicated = self._read_replica(open_key(job)) is not None
+        for _ in range(MAX_READ_TRIES):
+            item = await self._store.get(open_key(job))
+            if item is not None:
+                if await self._is_unchanged([Condition(open_key(job), item.mod_revision)]):
                     results[job] = self.remember_open_item(job, item)
                     return
                 continue
-            item = await self._store.get(m.ended_key(job))
+            item = await self._store.get(ended_key(job))
             if item is not None:
-                record = m.decode_ended(item.value)
-                results[job] = (
-                    self.remember_ended(job, record)
-                    if record.is_proven
-                    else OpenJob(item.mod_revision, record.task_count, True, True)
-                )
+                results[job] = self._ended_result(job, item)
                 return
-            if await self._is_unchanged(
-                [sm.Condition(m.open_key(job), Revision(0)), sm.Condition(m.ended_key(job), Revision(0))]
-            ):
-                if was_replicated:
-                    # Known before we asked, and an open job only ever moves to the ended key.
-                    self._on_missing(job)
-                    raise StoreUnavailableError(f"job {job} is missing")
+            if await self._is_unchanged(absence_conditions(job)):
+                self._check_not_lost(job, was_replicated)
                 with self._lock:
                     _remember(self._open_cache, job, ABSENT_JOB)
                 results[job] = None
                 return
         raise StoreUnavailableError(f"job {job} is just changing")
 
-    async def _is_unchanged(self, conditions: list[sm.Condition]) -> bool:
-        """Whether what was read holds in our era; without eras there is nothing to ask."""
+    def _ended_result(self, job: JobId, item: Item) -> EndedRecord | OpenJob:
+        record = decode_ended(item.value)
+        if record.is_proven:
+            return self.remember_ended(job, record)
+        return OpenJob(item.mod_revision, record.task_count, is_cancelled=True, is_unrecorded=True)
+
+    def _check_not_lost(self, job: JobId, was_replicated: bool) -> None:
+        """Report a job that the replica held before the store was asked: an open job only moves to the ended key."""
+        if was_replicated:
+            self._on_missing(job)
+            raise StoreUnavailableError(f"job {job} is missing")
+
+    async def _is_unchanged(self, conditions: list[Condition]) -> bool:
+        """Whether what was read holds in the known store epoch; nothing is asked without epochs."""
         return self._store.guard is None or not await self._store.find_changed_keys(conditions)
 
 
 async def _await_all(coroutines: Iterable[Coroutine[Any, Any, None]]) -> None:
     """Wait for all; then raise the first failure, if any."""
-    running = [Deferred.fromCoroutine(one) for one in coroutines]
+    running = [Deferred.fromCoroutine(coroutine) for coroutine in coroutines]
     outcomes: list[tuple[bool, Any]] = await DeferredList(running, consumeErrors=True)
     for has_succeeded, outcome in outcomes:
         if not has_succeeded:
             outcome.raiseException()
 
 
-def _deliver_results(
-    batch: dict[JobId, list[Deferred[JobLookupResult]]], results: dict[JobId, JobLookupResult]
-) -> None:
+def _deliver_results(batch: _Batch, results: _Results) -> None:
     for job in [job for job in batch if job in results]:
         for answer in batch.pop(job):
             answer.callback(results[job])
@@ -280,8 +325,9 @@
 V = TypeVar("V")
 
 
-def _remember(memory: OrderedDict[JobId, V], job: JobId, value: V) -> None:
-    memory.pop(job, None)
-    memory[job] = value
-    while len(memory) > MAX_CACHED_JOBS:
-        memory.popitem(last=False)
+def _remember(cache: OrderedDict[JobId, V], job: JobId, value: V) -> None:
+    """Add the newest entry to the cache, which drops its oldest ones beyond MAX_CACHED_JOBS."""
+    cache.pop(job, None)
+    cache[job] = value
+    while len(cache) > MAX_CACHED_JOBS:
+        cache.popitem(last=False)
--- a/meadowcross/jobs/job_table.py
+++ b/meadowcross/jobs/job_table.py
@@ -1,7 +1,7 @@
-"""The leader's book of open jobs and their tasks, rebuilt from the store at takeover.
+"""The leader's table of open jobs and their tasks, rebuilt from the store when its term begins.
 
-A job's tasks are stored in chunks, one key each: a list with an entry per task,
-`[attempt, machine]` while it is placed, -1 when it is done, else its last attempt.
+A job's tasks are stored in chunks, one key each: a list with an entry for each task, `[attempt, machine]` while it is
+placed, -1 when it is done, else its last attempt.
 """
 
 from __future__ import annotations
@@ -9,14 +9,18 @@
 import heapq
 from collections import Counter
 from collections.abc import Iterable, Iterator
+from dataclasses import dataclass, field
 from enum import IntEnum
 from threading import RLock
 from typing import NamedTuple
 
 from meadowcross.common.types import Attempt, Instant, JobId, MachineId, Revision, Seconds, TaskId
-from meadowcross.jobs.messages import PRIORITY_RANKS, JobKind, JobRecord, JobSpec
+from meadowcross.jobs.messages import PRIORITY_RANKS, JobKind, JobRecord, JobSpec, StoredTask
 
 DONE_ENTRY = -1
+REQUEUED = 0
+NEVER_PLACED = 1
+"""Waiting tasks that were stopped, lost or failed go before those that were never placed."""
 
 
 class PlacementPhase(IntEnum):
@@ -32,46 +36,42 @@
     CHECKPOINTING = 7
 
 
+@dataclass(slots=True, eq=False)
 class Placement:
-    """One attempt of a task on a machine; it counts until proven gone."""
-
-    __slots__ = (
-        "attempt",
-        "grace_s",
-        "is_inherited",
-        "machine",
-        "phase",
-        "placed_at",
-        "running_at",
-        "stop_requested_at",
-        "stop_sent_at",
-        "task",
-    )
-
-    def __init__(
-        self, task: TaskId, attempt: Attempt, machine: MachineId, phase: PlacementPhase, placed_at: Instant
-    ) -> None:
-        self.task = task
-        self.attempt = attempt
-        self.machine = machine
-        self.phase = phase
-        self.is_inherited = phase is PlacementPhase.INHERITED
-        """Stored by an earlier leader: it may have run for long before we saw it run."""
-        self.placed_at = placed_at
-        self.running_at: Instant | None = None
-        self.stop_requested_at: Instant | None = None
-        self.grace_s: Seconds = 0.0
-        self.stop_sent_at: Instant | None = None
-        """When its machine was last told directly to stop it."""
+    """One attempt of a task on a machine. It counts until it is proven gone."""
+
+    task: TaskId
+    attempt: Attempt
+    machine: MachineId
+    phase: PlacementPhase
+    placed_at: Instant
+    is_inherited: bool = field(init=False)
+    """Stored by an earlier leader: it may have run for long before this leader saw it run."""
+    running_at: Instant | None = None
+    stop_requested_at: Instant | None = None
+    grace_s: Seconds = 0.0
+    stop_sent_at: Instant | None = None
+    """When its machine was last sent a request to stop it."""
+
+    def __post_init__(self) -> None:
+        self.is_inherited = self.phase is PlacementPhase.INHERITED
 
     @property
     def may_have_started(self) -> bool:
-        """Its start may have been sent, by us or by an earlier leader."""
+        """Whether its start may have been sent, by this leader or an earlier one."""
         return self.phase >= PlacementPhase.SENT
 
 
+class StoredPlacement(NamedTuple):
+    """A placement as an earlier leader stored it."""
+
+    task_index: int
+    attempt: int
+    machine: str
+
+
 class Job:
-    """An open job. `waiting` holds the tasks that are neither placed nor done."""
+    """An open job with the state of its tasks, which are numbered from 0."""
 
     def __init__(self, record: JobRecord, mod_revision: Revision) -> None:
         self.spec: JobSpec = record.spec
@@ -79,8 +79,8 @@
         self.submitted_at = record.submitted_at
         self.cancelled_at = record.cancelled_at
         self.is_cancel_stored = record.cancelled_at is not None
-        """Its record, at the version that we know, holds the cancel. By a peer's word alone its tasks are stopped, and
-        its end is not stored yet."""
+        """Whether the job's record, at the known revision, holds the cancel. After a peer's announcement alone the
+        tasks are stopped, and the job's end is not stored yet."""
         self.chunk_size = record.chunk_size
         self.mod_revision = mod_revision
         self.rank = PRIORITY_RANKS[record.spec.priority]
@@ -88,93 +88,103 @@
         self.done_flags = bytearray(record.spec.tasks)
         self.done_count = 0
         self.placements: dict[int, Placement] = {}
-        self._waiting_tasks: list[tuple[int, int]] = [(1, index) for index in range(record.spec.tasks)]
+        self._waiting_tasks: list[tuple[int, int]] = [(NEVER_PLACED, index) for index in range(record.spec.tasks)]
         self.chunk_revisions: dict[int, Revision] = {}
         self.stored_done_tasks: set[int] = set()
         self.paused_until = Instant(0.0)
         self.failed_machines: set[MachineId] = set()
         self.healthy_machines: set[MachineId] = set()
-        """Machines where a task of it was done, or lived longer than another needed to fail."""
+        """Machines where one of its tasks was done, or ran longer than another took to fail."""
         self.pause_count = 0
         self.gang_attempt: Attempt | None = None
         self.checkpointed_progress: dict[int, Seconds] = {}
-        """Progress of earlier attempts that the next goes on from, where this leader saw it."""
+        """Progress of earlier attempts that the next attempt continues from, where this leader saw it."""
         self.has_placed = False
         """Whether a task of it is or was placed, by any leader."""
         self.was_started_by_aging = False
-        """It went on with a task at a time when its turn did not come."""
+        """Whether a task of it was placed out of turn because the job had waited for long."""
         self.last_loss_at: Instant | None = None
-        """When a task of it was last seen gone by this leader."""
+        """When this leader last saw a task of it gone."""
         self.is_ending = False
         self.deadlines: list[Seconds] | None = None
-        """Its users' aims on its end, once asked for: see `Aims.dues`."""
+        """Cache of `ServiceLevelObjectives.deadlines`."""
 
     @property
     def is_gang(self) -> bool:
+        """Whether its tasks only run together."""
         return self.spec.kind is JobKind.GANG
 
     @property
     def is_complete(self) -> bool:
+        """Whether all its tasks are done."""
         return self.done_count == self.spec.tasks
 
     @property
     def waiting_count(self) -> int:
+        """The number of tasks that are neither placed nor done."""
         return len(self._waiting_tasks)
 
     @property
     def is_retrying(self) -> bool:
         """Whether a task waits that was stopped, lost or failed."""
-        return bool(self._waiting_tasks) and self._waiting_tasks[0][0] == 0
+        return bool(self._waiting_tasks) and self._waiting_tasks[0][0] == REQUEUED
 
     @property
     def healthy_machine_count(self) -> int:
-        """On how many machines it fared well; all that an earlier leader saw counts as one."""
+        """The number of machines where it ran well; all that an earlier leader saw counts as one."""
         return max(len(self.healthy_machines), 1 if self.done_count else 0)
 
     @property
     def is_probing(self) -> bool:
-        """It failed more widely than it succeeded: one task at a time tells whether it still
-        does. Hundreds would only take starts, writes and fetches from others."""
+        """Whether it failed on more machines than it ran well on, so that only one task at a time is placed.
+
+        One task shows whether the job still fails; hundreds would only delay the starts of other jobs.
+        """
         return bool(self.failed_machines) and len(self.failed_machines) > self.healthy_machine_count
 
     def pop_waiting_task(self) -> int:
+        """Remove the next waiting task and return its index."""
         return heapq.heappop(self._waiting_tasks)[1]
 
     def requeue_task(self, index: int) -> None:
-        heapq.heappush(self._waiting_tasks, (0, index))
+        """Add a task that was placed to the waiting ones."""
+        heapq.heappush(self._waiting_tasks, (REQUEUED, index))
 
-    def load_chunk(self, first: int, entries: Iterable[int | tuple[int, str]]) -> Iterator[tuple[int, int, str]]:
-        """Take over a stored chunk; yields the placements it holds."""
-        for offset, entry in enumerate(entries):
-            index = first + offset
+    def load_chunk(self, first: int, entries: Iterable[StoredTask]) -> Iterator[StoredPlacement]:
+        """Take over a stored chunk whose first task is `first`; yield the placements it holds."""
+        for index, entry in enumerate(entries, first):
             self.has_placed = self.has_placed or entry != 0
-            if isinstance(entry, int):
-                if entry == DONE_ENTRY:
-                    self.done_flags[index] = 1
-                    self.done_count += 1
-                    self.stored_done_tasks.add(index)
-                else:
-                    self.attempts[index] = entry
+            if not isinstance(entry, int):
+                attempt, machine = entry
+                self.attempts[index] = attempt
+                yield StoredPlacement(index, attempt, machine)
+            elif entry == DONE_ENTRY:
+                self.done_flags[index] = 1
+                self.done_count += 1
+                self.stored_done_tasks.add(index)
             else:
-                self.attempts[index] = entry[0]
-                yield index, entry[0], entry[1]
+                self.attempts[index] = entry
 
     def rebuild_waiting(self) -> None:
+        """Recompute the waiting tasks from what was loaded."""
         self._waiting_tasks = [
-            (0 if self.attempts[index] else 1, index)
+            (REQUEUED if self.attempts[index] else NEVER_PLACED, index)
             for index in range(self.spec.tasks)
             if not self.done_flags[index] and index not in self.placements
         ]
         heapq.heapify(self._waiting_tasks)
 
     def chunk_of(self, index: int) -> int:
+        """Return the number of the chunk that holds the task."""
         return index // self.chunk_size
 
     def chunk_range(self, chunk: int) -> range:
+        """Return the indexes of the chunk's tasks."""
         return range(chunk * self.chunk_size, min((chunk + 1) * self.chunk_size, self.spec.tasks))
 
-    def chunk_entries(self, chunk: int) -> list[int | tuple[int, str]]:
-        entries: list[int | tuple[int, str]] = []
+    def chunk_entries(self, chunk: int) -> list[StoredTask]:
+        """Return the chunk as it is stored."""
+        entries: list[StoredTask] = []
         for index in self.chunk_range(chunk):
             placement = self.placements.get(index)
             if self.done_flags[index]:
@@ -186,31 +196,44 @@
         return entries
 
     def running_count(self) -> int:
-        return sum(
-            1 for p in self.placements.values() if p.phase in (PlacementPhase.RUNNING, PlacementPhase.CHECKPOINTING)
-        )
+        """Return the number of tasks known to run."""
+        phases = (PlacementPhase.RUNNING, PlacementPhase.CHECKPOINTING)
+        return sum(1 for placement in self.placements.values() if placement.phase in phases)
 
 
 class ResourceUsage(NamedTuple):
+    """What a team's placed tasks take."""
+
     cpus: float
     gpus: float
 
 
+NO_USAGE = ResourceUsage(0.0, 0.0)
+
+
+class ChunkId(NamedTuple):
+    """One chunk of a job's stored tasks."""
+
+    job: JobId
+    chunk: int
+
+
 class JobTable:
-    """All open jobs, what is dirty, and each team's use by what is placed."""
+    """All open jobs, the chunks that have to be stored, and each team's usage."""
 
     def __init__(self) -> None:
         self._lock = RLock()
         self.jobs: dict[JobId, Job] = {}
         self.waiting: dict[JobId, Job] = {}
-        """Of those, the ones with tasks to place: a pass looks at these, however many run."""
-        self._usage: dict[str, list[float]] = {}
+        """The jobs with tasks to place: a scheduling pass looks at these only, however many jobs run."""
+        self._usage: dict[str, ResourceUsage] = {}
         self.placed_count_by_rank: Counter[int] = Counter()
-        """How many tasks of each rank are placed and not proven gone; none without any."""
-        self.dirty_chunks: dict[tuple[JobId, int], bool] = {}
+        """How many tasks of each rank are placed and not proven gone; no entry for none."""
+        self.dirty_chunks: dict[ChunkId, bool] = {}
         """Chunks to be stored, in the order in which they changed; True: urgent."""
 
     def add(self, record: JobRecord, mod_revision: Revision) -> Job:
+        """Add an open job as stored at this revision, with all its tasks waiting."""
         with self._lock:
             job = Job(record, mod_revision)
             self.jobs[job.id] = job
@@ -218,32 +241,26 @@
             return job
 
     def remove(self, job: JobId) -> None:
+        """Remove a job that has ended, if it is known."""
         with self._lock:
             removed = self.jobs.pop(job, None)
             self.waiting.pop(job, None)
             if removed is not None:
-                for key in [key for key in self.dirty_chunks if key[0] == job]:
-                    del self.dirty_chunks[key]
+                for chunk_id in [chunk_id for chunk_id in self.dirty_chunks if chunk_id.job == job]:
+                    del self.dirty_chunks[chunk_id]
 
     def usage_of(self, team: str) -> ResourceUsage:
-        usage = self._usage.get(team, (0.0, 0.0))
-        return ResourceUsage(usage[0], usage[1])
-
-    def _adjust_usage(self, job: Job, sign: int) -> None:
-        usage = self._usage.setdefault(job.spec.team, [0.0, 0.0])
-        usage[0] += sign * job.spec.cpus
-        usage[1] += sign * job.spec.gpus
-        self.placed_count_by_rank[job.rank] += sign
-        if not self.placed_count_by_rank[job.rank]:
-            del self.placed_count_by_rank[job.rank]
+        """Return what the team's placed tasks take."""
+        return self._usage.get(team, NO_USAGE)
 
     def mark_dirty(self, job: Job, index: int, is_urgent: bool) -> None:
+        """Note that the task's chunk has to be stored."""
         with self._lock:
-            key = (job.id, job.chunk_of(index))
-            self.dirty_chunks[key] = self.dirty_chunks.get(key, False) or is_urgent
+            chunk_id = ChunkId(job.id, job.chunk_of(index))
+            self.dirty_chunks[chunk_id] = self.dirty_chunks.get(chunk_id, False) or is_urgent
 
     def place(self, job: Job, index: int, machine: MachineId, now: Instant) -> Placement:
-        """Record a placement, to be stored before its start is sent."""
+        """Record a placement, which must be stored before its start is sent."""
         with self._lock:
             if job.is_gang and job.gang_attempt is not None:
                 attempt = job.gang_attempt
@@ -251,11 +268,8 @@
                 attempt = Attempt(job.attempts[index] + 1)
             job.attempts[index] = max(attempt, job.attempts[index])
             placement = Placement(TaskId(job.id, index), attempt, machine, PlacementPhase.STORING, now)
-            job.placements[index] = placement
-            job.has_placed = True
-            if not job.waiting_count:
-                self.waiting.pop(job.id, None)
-            self._adjust_usage(job, 1)
+            self._add_placement(job, placement)
+            self._remove_if_not_waiting(job)
             self.mark_dirty(job, index, True)
             return placement
 
@@ -264,20 +278,17 @@
         with self._lock:
             task = TaskId(job.id, index)
             placement = Placement(task, Attempt(attempt), MachineId(machine), PlacementPhase.INHERITED, now)
-            job.placements[index] = placement
-            job.has_placed = True
-            self._adjust_usage(job, 1)
+            self._add_placement(job, placement)
             return placement
 
     def rebuild_waiting(self, job: Job) -> None:
-        """All that earlier leaders stored of the job has been taken over."""
+        """Recompute the job's waiting tasks once all that earlier leaders stored of it is loaded."""
         with self._lock:
             job.rebuild_waiting()
-            if not job.waiting_count:
-                self.waiting.pop(job.id, None)
+            self._remove_if_not_waiting(job)
 
     def release(self, placement: Placement) -> None:
-        """The placement is proven gone, or its start was never sent: the task waits again."""
+        """Make the task wait again: the placement is proven gone, or its start was never sent."""
         with self._lock:
             job = self._remove_placement(placement)
             if job is not None:
@@ -285,13 +296,20 @@
                 self.waiting[job.id] = job
 
     def complete_task(self, placement: Placement) -> None:
+        """Record that the placement's task is done."""
         with self._lock:
             job = self._remove_placement(placement)
             if job is not None:
                 job.done_flags[placement.task.number] = 1
                 job.done_count += 1
 
+    def _add_placement(self, job: Job, placement: Placement) -> None:
+        job.placements[placement.task.number] = placement
+        job.has_placed = True
+        self._adjust_usage(job, 1)
+
     def _remove_placement(self, placement: Placement) -> Job | None:
+        """Remove the placement; return its job, or None if the placement is no longer its task's."""
         job = self.jobs.get(placement.task.job)
         if job is None or job.placements.get(placement.task.number) is not placement:
             return None
@@ -299,3 +317,14 @@
         self._adjust_usage(job, -1)
         self.mark_dirty(job, placement.task.number, False)
         return job
+
+    def _remove_if_not_waiting(self, job: Job) -> None:
+        if not job.waiting_count:
+            self.waiting.pop(job.id, None)
+
+    def _adjust_usage(self, job: Job, sign: int) -> None:
+        usage = self.usage_of(job.spec.team)
+        self._usage[job.spec.team] = ResourceUsage(usage.cpus + sign * job.spec.cpus, usage.gpus + sign * job.spec.gpus)
+        self.placed_count_by_rank[job.rank] += sign
+        if not self.placed_count_by_rank[job.rank]:
+            del self.placed_count_by_rank[job.rank]
--- a/meadowcross/jobs/messages.py
+++ b/meadowcross/jobs/messages.py
@@ -1,9 +1,9 @@
-"""What users send and read, and how jobs are stored; wire names stay here."""
+"""What users send and read, and how jobs are stored. Wire names and stored names stay in this module."""
 
 from __future__ import annotations
 
 from enum import Enum
-from typing import Annotated, Any, NamedTuple
+from typing import Annotated, NamedTuple
 
 import msgspec
 from msgspec import Meta, Struct, field
@@ -19,12 +19,16 @@
 
 
 class JobKind(Enum):
+    """Whether tasks run one by one, all together, or without an end."""
+
     ARRAY = "batch"
     GANG = "group"
     SERVICE = "daemon"
 
 
 class Priority(Enum):
+    """A job's priority class, highest first."""
+
     PRODUCTION = "critical"
     HIGH = "urgent"
     NORMAL = "normal"
@@ -32,11 +36,11 @@
 
 
 PRIORITY_RANKS = {Priority.PRODUCTION: 0, Priority.HIGH: 1, Priority.NORMAL: 2, Priority.LOW: 3}
-"""0 goes first."""
+"""The lowest rank goes first."""
 
 
 class JobSpec(Struct, frozen=True):
-    """A submission. A field that may be null may be left out; the rest must be there."""
+    """A submission. A field that may be null may be left out; the others are required."""
 
     id: _Id
     job_class: _Text = field(name="herd")
@@ -61,11 +65,13 @@
 
 
 def checkpoint_grace_s(checkpoint_save_s: Seconds) -> Seconds:
-    """What a task that is stopped without hurry is given to save: twice what it needs, and some."""
+    """Return the grace of a stop without hurry: twice the time that saving a checkpoint takes, and a second."""
     return 2 * checkpoint_save_s + 1.0
 
 
 class JobState(Enum):
+    """A job's state as users see it."""
+
     PENDING = "pending"
     RUNNING = "running"
     DONE = "done"
@@ -88,16 +94,22 @@
     state: JobState = field(name="s")
     task_count: int = field(name="n")
     is_proven: bool = field(name="p", default=True)
-    """False: cancelled while its record was lost, and machines may still have tasks of it."""
+    """False: cancelled while its record was lost, and workers may still have tasks of it."""
+
+
+ForecastQuantiles = tuple[Seconds, Seconds, Seconds]
+"""Seconds until a job is done, in one, five and nine cases of ten."""
 
 
 class JobResponse(Struct, omit_defaults=True):
+    """What users read of a job."""
+
     id: JobId
     state: JobState = field(name="standing")
     done_count: int | None = field(name="done", default=None)
     running_count: int | None = field(name="running", default=None)
-    forecast_s: tuple[Seconds, Seconds, Seconds] | None = field(name="endsS", default=None)
-    """Beyond the protocol: seconds until it is done, in one, five and nine cases of ten."""
+    forecast_s: ForecastQuantiles | None = field(name="endsS", default=None)
+    """Not part of the protocol."""
 
 
 class JobProgress(NamedTuple):
@@ -105,40 +117,44 @@
 
     done_count: int
     running_count: int
-    forecast_s: tuple[Seconds, Seconds, Seconds] | None = None
+    forecast_s: ForecastQuantiles | None = None
 
 
+StoredTask = int | tuple[int, str]
+"""One task in a stored chunk: see `jobs.job_table`."""
+
 encode = msgspec.json.Encoder().encode
 decode_spec = msgspec.json.Decoder(JobSpec).decode
 decode_record = msgspec.json.Decoder(JobRecord).decode
 decode_ended = msgspec.json.Decoder(EndedRecord).decode
+decode_chunk = msgspec.json.Decoder(list[StoredTask]).decode
 
 OPEN_PREFIX = "j/"
 ENDED_PREFIX = "e/"
 CHUNK_PREFIX = "t/"
 
-Stored = Any
-"""One task in a stored chunk: see `jobs.book`."""
-decode_chunk = msgspec.json.Decoder(list[int | tuple[int, str]]).decode
-
 
 def open_key(job: JobId) -> str:
+    """Return the key of the job's record while it is open."""
     return OPEN_PREFIX + job
 
 
 def ended_key(job: JobId) -> str:
+    """Return the key of the job's record once it has ended."""
     return ENDED_PREFIX + job
 
 
 def chunk_key(job: JobId, chunk: int) -> str:
+    """Return the key of one chunk of the job's tasks."""
     return f"{chunk_prefix(job)}{chunk:05d}"
 
 
 def chunk_prefix(job: JobId) -> str:
-    """Under which all its chunks are."""
+    """Return the prefix of the keys of all the job's chunks."""
     return f"{CHUNK_PREFIX}{job}/"
 
 
 def parse_chunk_key(key: str) -> tuple[JobId, int]:
+    """Return the job and the chunk's number of a chunk's key."""
     job, _, number = key.removeprefix(CHUNK_PREFIX).rpartition("/")
     return JobId(job), int(number)
--- a/meadowcross/jobs/objectives.py
+++ b/meadowcross/jobs/objectives.py
@@ -1,9 +1,8 @@
-"""What the users' aims ask of a job next: which time it can still meet, and how much is left until then.
+"""Service level objectives: by when a job should start and end, and how much slack is left until then.
 
-A class may have several aims of one kind (a deadline and one and a half times of it; a start
-within a second and within thirty). A job that can't meet the first any more is not the most
-urgent for that: it aims at the next that it still can. Once the hopeless went first, took the
-first machines that came up, and the next ones were late too.
+A class may have several objectives of one kind, such as a deadline and one and a half times of it, or a start within
+a second and within thirty. A job that can no longer meet the first is not the most urgent for that: it goes by the
+next that it still can. Otherwise jobs without a chance would take the first machines, and the next ones be late too.
 """
 
 from __future__ import annotations
@@ -18,11 +17,11 @@
 
 NO_DEADLINE_S: Seconds = 1e9
 ESTIMATE_TOLERANCE = 0.25
-"""Estimates are often wrong by half: a job that misses a time by less than this share of its
-expected run may still meet it."""
+"""Estimates are often wrong by half: a job that misses a deadline by less than this part of its expected run may
+still meet it."""
 OVERDUE_GROWTH = 1.5
-"""Past all its aims a job goes on aiming at times that grow by this factor, so that it waits for
-what can still be in time, but not for ever."""
+"""Past all its deadlines a job goes by ones that grow by this factor, so that it waits for what can still be in time,
+but not for ever."""
 
 log = get_logger("jobs")
 
@@ -30,66 +29,79 @@
 
 
 def may_wait_for_cheaper_capacity(objectives: Collection[Objective]) -> bool:
-    """Whether work may wait for cheaper room. A deadline is time that its owner gives, and money is saved within it.
-    Where the users state aims, and all of them run from the submission, nobody gives time: what is kept ready follows
-    from those aims alone. Where none are stated, nothing is taken for free. (The price itself is no aim that the
-    settings name.)"""
-    return not objectives or any(aim.kind == "deadline" for aim in objectives)
+    """Whether work may wait for cheaper machines.
+
+    A deadline is time that the job's owner gives, and money may be saved within it. Where all objectives run from the
+    submission nobody gives time, and what is kept ready follows from them alone. Without objectives work may wait.
+    """
+    return not objectives or any(objective.kind == "deadline" for objective in objectives)
 
 
 class ServiceLevelObjectives:
+    """The users' objectives by job class. All times are seconds since a job's submission."""
+
     def __init__(self, objectives: Collection[Objective]) -> None:
         self._start_limits_s: dict[str | None, list[Seconds]] = {}
         self._finish_limits_s: dict[str | None, list[Seconds]] = {}
         self._deadline_factors: dict[str | None, list[float]] = {}
         self._availability_after_s: dict[str | None, Seconds] = {}
         for objective in objectives:
-            if objective.kind == "wait" and objective.within_s is not None:
-                self._start_limits_s.setdefault(objective.job_class, []).append(objective.within_s)
-            elif objective.kind == "finished" and objective.within_s is not None:
-                self._finish_limits_s.setdefault(objective.job_class, []).append(objective.within_s)
-            elif objective.kind == "deadline" and objective.times is not None:
-                self._deadline_factors.setdefault(objective.job_class, []).append(objective.times)
-            elif objective.kind == "up":
-                self._availability_after_s[objective.job_class] = min(
-                    objective.after_s or 0.0, self._availability_after_s.get(objective.job_class, inf)
-                )
-        if unknown_kinds := {objective.kind for objective in objectives} - KNOWN_KINDS:
-            log.info("aims of kinds that are not known count for nothing: %s", ", ".join(sorted(unknown_kinds)))
+            self._add(objective)
         for limits in (self._start_limits_s, self._finish_limits_s, self._deadline_factors):
             for values in limits.values():
                 values.sort()
+        if unknown_kinds := {objective.kind for objective in objectives} - KNOWN_KINDS:
+            log.info("objectives of unknown kinds ignored kinds=%s", ",".join(sorted(unknown_kinds)))
+
+    def _add(self, objective: Objective) -> None:
+        job_class = objective.job_class
+        if objective.kind == "wait" and objective.within_s is not None:
+            self._start_limits_s.setdefault(job_class, []).append(objective.within_s)
+        elif objective.kind == "finished" and objective.within_s is not None:
+            self._finish_limits_s.setdefault(job_class, []).append(objective.within_s)
+        elif objective.kind == "deadline" and objective.times is not None:
+            self._deadline_factors.setdefault(job_class, []).append(objective.times)
+        elif objective.kind == "up":
+            earliest_s = self._availability_after_s.get(job_class, inf)
+            self._availability_after_s[job_class] = min(objective.after_s or 0.0, earliest_s)
 
     def shortest_start_s(self, job_class: str) -> Seconds | None:
-        """The shortest time within which the class's tasks should start."""
+        """Return the shortest time within which the class's tasks should start."""
         limits = self._start_limits_s.get(job_class)
         return limits[0] if limits else None
 
     def start_slack(self, spec: JobSpec, elapsed_s: Seconds) -> Seconds:
-        """How long until the next time by which its tasks should have started; NO_DUE past all."""
+        """Return the time until the next limit on the start of the job's tasks; NO_DEADLINE_S past all."""
         for limit in self._start_limits_s.get(spec.job_class, ()):
             if elapsed_s <= limit:
                 return limit - elapsed_s
         return NO_DEADLINE_S
 
     def availability_slack(self, spec: JobSpec, elapsed_s: Seconds, was_lost: bool) -> Seconds:
-        """How long until a service's replica that waits is missed: one that was `lost` after it ran is already; a new
-        one is from when an aim begins to count the time that its class's replicas are up. NO_DUE for other jobs."""
+        """Return the time until a service's waiting replica counts as missing; NO_DEADLINE_S for other jobs.
+
+        A replica that was lost after it ran is missing at once, a new one from when an objective begins to count.
+        """
         if spec.kind is not JobKind.SERVICE:
             return NO_DEADLINE_S
-        return 0.0 if was_lost else self._availability_after_s.get(spec.job_class, NO_DEADLINE_S) - elapsed_s
+        if was_lost:
+            return 0.0
+        return self._availability_after_s.get(spec.job_class, NO_DEADLINE_S) - elapsed_s
 
     def deadlines(self, spec: JobSpec) -> list[Seconds]:
-        """The times after its submission by which it should be done, soonest first: the same all its life."""
+        """Return the times by which the job should be done, soonest first; they never change."""
         deadlines = list(self._finish_limits_s.get(spec.job_class, ()))
         if spec.deadline_s is not None:
             deadlines.append(spec.deadline_s)
-            deadlines += (times * spec.deadline_s for times in self._deadline_factors.get(spec.job_class, ()))
+            deadlines += (factor * spec.deadline_s for factor in self._deadline_factors.get(spec.job_class, ()))
         return sorted(deadlines)
 
 
 def slack(deadlines: list[Seconds], elapsed_s: Seconds, run_s: Seconds) -> Seconds:
-    """How long a job's tasks may still wait for it to be done by the next time that it can meet."""
+    """Return how long a job's tasks may still wait if it is to meet the next deadline that it can.
+
+    `elapsed_s` is the time since its submission, `run_s` its expected run.
+    """
     if not deadlines:
         return NO_DEADLINE_S
     earliest_end = elapsed_s + (1 - ESTIMATE_TOLERANCE) * run_s
--- a/meadowcross/recovery/store_epochs.py
+++ b/meadowcross/recovery/store_epochs.py
@@ -307,6 +307,10 @@
     def stage(self) -> RecoveryStage | None:
         return self.progress.stage if self.state is EpochState.RECOVERING and self.progress is not None else None
 
+    def is_known(self) -> bool:
+        """Whether the epoch's record was read."""
+        return self.record is not None
+
     def unavailable_reason(self) -> str | None:
         """Why no request can be served now, or None."""
         if self.state is EpochState.LOST:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -21,7 +21,9 @@
 from meadowcross.autoscaling.messages import decode_machine_types, encode
 from meadowcross.common.settings import OperatorSettings, Settings
 from meadowcross.common.types import Address, NodeName
+from meadowcross.jobs.admission import JobAdmission
 from meadowcross.jobs.api import JobApi
+from meadowcross.jobs.collaborators import IntactStore, JobEvents, LocalReplica, PeerQueries
 from meadowcross.leadership.election import Election
 from meadowcross.leadership.term import LeaderTerm
 from meadowcross.store.client import StoreClient
@@ -137,19 +139,16 @@
         assert self.term is not None and self.term.loaded
         return self.term
 
-    def api(self) -> JobApi:
-        async def nothing(*arguments: Any) -> None:
-            return None
-
+    def api(self, peers: PeerQueries | None = None, events: JobEvents | None = None) -> JobApi:
+        admission = JobAdmission(self.settings.facts.teams, ["east", "west"], lambda: self.types)
         return JobApi(
             self.clock,
             self.store,
-            self.settings.facts.teams,
-            ["east", "west"],
-            lambda: self.types,
-            nothing,
-            bool,
-            nothing,
+            admission,
+            peers or PeerQueries(),
+            IntactStore(),
+            LocalReplica(),
+            events or JobEvents(),
         )
 
     def pass_time(self, seconds: float, step: float = 0.05) -> None:
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -13,7 +13,8 @@
 
 from meadowcross.common.http import MAX_BODY, Router, ServerResponse, build_api_factory
 from meadowcross.common.types import FencingToken, NodeName
-from meadowcross.jobs.api import MAX_OPEN_REQUESTS, StoreTrust
+from meadowcross.jobs.api import MAX_OPEN_REQUESTS
+from meadowcross.jobs.collaborators import JobEvents, PeerQueries
 from meadowcross.jobs.job_reader import MAX_END_WAITERS
 from meadowcross.jobs.messages import EndedRecord, JobProgress, JobState
 from meadowcross.leadership.messages import PeerHeartbeat
@@ -69,7 +70,7 @@
     world.state.outage = True
     api = world.api()
     for operation, arguments in (("query", (b"", "wk-999999")), ("submit", (json.dumps(job()).encode(),))):
-        answer = world.run(api._guarded(operation)(*arguments))
+        answer = world.run(api.build_handler(operation)(*arguments))
         assert (answer.status, answer.retry_after) == (503, 1)
 
 
@@ -85,7 +86,7 @@
 def test_an_acceptance_without_an_answer_is_read_again(world, fault):
     world.net.faults.append(("state:1/multi", fault))
     api = world.api()
-    answer = world.run(api._guarded("submit")(json.dumps(job()).encode()))
+    answer = world.run(api.build_handler("submit")(json.dumps(job()).encode()))
     assert answer.status == (200 if fault == "lose" else 503)
     world.net.deliver_late()
     # The late one applied: the retry is told so, and nothing is accepted twice.
@@ -113,8 +114,7 @@
     and its repeats wait, but not for long, for no store request each, and not beyond a bound."""
     world.submit()
     words = []
-    api = world.api()
-    api._trust = StoreTrust(on_cancelled=lambda *word: words.append(word))
+    api = world.api(events=JobEvents(on_cancelled=lambda *word: words.append(word)))
     before = world.clock.seconds()
     answer = world.run(api.cancel("wk-000001"), 4.0)
     assert (answer.status, answer.retry_after) == (503, 1) and 2.0 < world.clock.seconds() - before < 3.0
@@ -142,7 +142,7 @@
 def test_a_malformed_id_is_unknown_and_never_an_error(world, name):
     api = world.api()
     for operation in ("query", "cancel"):
-        assert world.run(api._guarded(operation)(b"\xff{", name)).status == 404
+        assert world.run(api.build_handler(operation)(b"\xff{", name)).status == 404
 
 
 def test_cancel_of_a_job_that_is_done_says_done(world):
@@ -174,17 +174,16 @@
         asked.append((operation, json.loads(body)["id"]))
         return theirs
 
-    api = world.api()
-    api._peer_has_store, api._forward = lambda: peer, forward
+    api = world.api(PeerQueries(has_store=lambda: peer, forward=forward))
     world.state.outage = refused
     for again in (False, True):
-        answer = world.run(api._guarded("submit")(json.dumps(job()).encode()))
+        answer = world.run(api.build_handler("submit")(json.dumps(job()).encode()))
         assert answer.status == (200 if again and not refused else status)
         assert answer.retry_after == (1 if status == 503 else None)
     assert asked == ([("submit", "wk-000001")] * 2 if refused and peer else [])
     # What is no text can't be passed on, and is malformed anyway.
     if refused and peer:
-        assert world.run(api._guarded("submit")(b"\xff")).status == 400
+        assert world.run(api.build_handler("submit")(b"\xff")).status == 400
 
 
 class Wire:
@@ -253,16 +252,16 @@
     api = world.api()
     answers = []
     for number in range(MAX_OPEN_REQUESTS + 50):
-        Deferred.fromCoroutine(api._guarded("query")(b"", f"wk-{number:06d}")).addCallback(answers.append)
+        Deferred.fromCoroutine(api.build_handler("query")(b"", f"wk-{number:06d}")).addCallback(answers.append)
     assert [(a.status, a.retry_after) for a in answers] == [(503, 1)] * 50
     submitted = []
-    work = api._guarded("submit")(json.dumps(job()).encode())
+    work = api.build_handler("submit")(json.dumps(job()).encode())
     Deferred.fromCoroutine(work).addCallback(submitted.append)
     world.pass_time(5.0)
     assert submitted[0].status == 201
     assert [a.status for a in answers].count(404) >= MAX_OPEN_REQUESTS - 1
     # All that was open is closed again.
-    assert world.run(api._guarded("query")(b"", "wk-000001")).status == 200 and not +api._open_requests
+    assert world.run(api.build_handler("query")(b"", "wk-000001")).status == 200 and not +api._open_requests
 
 
 def test_a_node_keeps_sockets_back_for_what_it_asks_itself():
--- a/tests/test_lookup.py
+++ b/tests/test_lookup.py
@@ -8,6 +8,7 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
+from meadowcross.jobs.collaborators import PeerQueries
 from meadowcross.jobs.job_reader import ABSENT_JOB, JobReader
 
 
@@ -77,8 +78,8 @@
 def test_a_question_that_waits_for_counts_is_not_answered_from_before(world):
     """The counts come from the leader, who may take its time; the read comes after them."""
     put(world, 1)
-    counts, answers, api = Deferred(), [], world.api()
-    api._progress = lambda job: counts
+    counts, answers = Deferred(), []
+    api = world.api(PeerQueries(progress=lambda job: counts))
     Deferred.fromCoroutine(api.query("wk-000001")).addCallback(answers.append)
     world.pass_time(0.3)
     end(world, 1)
@@ -146,7 +147,7 @@
     world.state.outage = True
     answers = []
     for number in range(1, 20):
-        work = api._guarded("query")(b"", f"wk-{number:06d}")
+        work = api.build_handler("query")(b"", f"wk-{number:06d}")
         Deferred.fromCoroutine(work).addBoth(answers.append)
     world.pass_time(0.3)
     assert {(a.status, a.retry_after) for a in answers} == {(503, 1)} and len(answers) == 19
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -14,7 +14,7 @@
 from meadowcross.cli import main
 from meadowcross.common.settings import SettingsError, Team
 from meadowcross.jobs import messages as jm
-from meadowcross.jobs.api import rejection_reason
+from meadowcross.jobs.admission import rejection_reason
 from meadowcross.jobs.messages import decode_spec, encode
 from meadowcross.openjd.plan import native, plan_of
 from meadowcross.openjd.reading import MAX_BYTES, TicketError, job_of, task_parameters
