--- a/meadowcross/jobs/api.py
+++ b/meadowcross/jobs/api.py
@@ -154,7 +154,7 @@
             return error_response(503, "the state service gives no answer", RETRY_AFTER_S)
         return error_response(404, "no such operation")
 
-    def ready(self, body: bytes) -> ServerResponse:
+    def ready(self, _body: bytes) -> ServerResponse:
         """Answer the load balancer: 200 if users may be sent here, else 503.
 
         In an outage of all nodes each stays ready and answers users at once when to come back; a node that alone is
--- a/meadowcross/jobs/collaborators.py
+++ b/meadowcross/jobs/collaborators.py
@@ -29,7 +29,7 @@
     def may_unknown_job_exist(self) -> bool:
         """Whether a job that the store does not know may have been accepted all the same."""
 
-    def is_job_proven(self, job: str) -> bool:
+    def is_job_proven(self, job: str, /) -> bool:
         """Whether workers had tasks of a job whose submission is lost."""
 
 
@@ -48,12 +48,12 @@
         """Return False."""
         return False
 
-    def is_job_proven(self, job: str) -> bool:
+    def is_job_proven(self, _job: str, /) -> bool:
         """Return False."""
         return False
 
 
-async def _no_response(*arguments: object) -> None:
+async def _no_response(*_arguments: object) -> None:
     return None
 
 
@@ -79,7 +79,7 @@
 class LocalReplica:
     """This node's replica of the store, if it keeps one."""
 
-    get: ReplicaLookup = lambda key: None
+    get: ReplicaLookup = lambda _key: None
     state: Callable[[], str] = lambda: "off"
     """Returns the replica's state, as `/ready` reports it."""
 
@@ -88,10 +88,10 @@
 class JobEvents:
     """What is told of stored jobs."""
 
-    on_accepted: Callable[[str, msgspec.Raw, Revision], None] = lambda key, value, revision: None
+    on_accepted: Callable[[str, msgspec.Raw, Revision], None] = lambda _key, _value, _revision: None
     """Called with a key that was written for a user, ahead of the replica's feed."""
-    on_missing: Callable[[JobId], None] = lambda job: None
+    on_missing: Callable[[JobId], None] = lambda _job: None
     """Called with a job that this node saw stored, and that the store does not know."""
-    on_cancelled: Callable[[JobId, Revision, bool], None] = lambda job, revision, is_unrecorded: None
+    on_cancelled: Callable[[JobId, Revision, bool], None] = lambda _job, _revision, _is_unrecorded: None
     """Called with a job whose cancel is stored and whose tasks are not proven gone, the cancel's revision, and
     whether it is stored under the ended key only."""
--- a/meadowcross/jobs/job_reader.py
+++ b/meadowcross/jobs/job_reader.py
@@ -82,8 +82,8 @@
         self,
         clock: Clock,
         store: StoreClient,
-        read_replica: ReplicaLookup = lambda key: None,
-        on_missing: Callable[[JobId], None] = lambda job: None,
+        read_replica: ReplicaLookup = lambda _key: None,
+        on_missing: Callable[[JobId], None] = lambda _job: None,
     ) -> None:
         self._clock = clock
         self._store = store
@@ -210,8 +210,7 @@
         failure: Exception = StoreUnavailableError("not read")
         try:
             await self._read_jobs(list(batch), results, lambda: _deliver_results(batch, results))
-        except Exception as error:
-            # Whatever went wrong is the answer of all lookups without a result.
+        except Exception as error:  # noqa: BLE001 - whatever went wrong is the answer of all lookups without a result
             failure = error
         finally:
             self._running_batches -= 1
@@ -288,7 +287,8 @@
                     _remember(self._open_cache, job, ABSENT_JOB)
                 results[job] = None
                 return
-        raise StoreUnavailableError(f"job {job} is just changing")
+        message = f"job {job} is just changing"
+        raise StoreUnavailableError(message)
 
     def _ended_result(self, job: JobId, item: Item) -> EndedRecord | OpenJob:
         record = decode_ended(item.value)
@@ -300,7 +300,8 @@
         """Report a job that the replica held before the store was asked: an open job only moves to the ended key."""
         if was_replicated:
             self._on_missing(job)
-            raise StoreUnavailableError(f"job {job} is missing")
+            message = f"job {job} is missing"
+            raise StoreUnavailableError(message)
 
     async def _is_unchanged(self, conditions: list[Condition]) -> bool:
         """Whether what was read holds in the known store epoch; nothing is asked without epochs."""
--- a/meadowcross/jobs/job_writer.py
+++ b/meadowcross/jobs/job_writer.py
@@ -76,7 +76,7 @@
         on_stored = partial(self._on_end_stored, job, state, chunk_keys[room:])
         return Write([Condition(key, job.mod_revision)], changes, on_stored)
 
-    def _on_end_stored(self, job: Job, state: JobState, left_chunk_keys: list[str], revision: Revision) -> None:
+    def _on_end_stored(self, job: Job, state: JobState, left_chunk_keys: list[str], _revision: Revision) -> None:
         log.info("job %s ended: %s%s", job.id, state.value, self._describe_duration(job))
         for key in left_chunk_keys:
             self.enqueue_delete(key)
@@ -117,4 +117,4 @@
 
 
 def _build_delete(key: str) -> Write:
-    return Write([], [Delete(key)], lambda revision: None)
+    return Write([], [Delete(key)], lambda _revision: None)
--- a/meadowcross/store/client.py
+++ b/meadowcross/store/client.py
@@ -160,8 +160,7 @@
         response = await self._call("GET", "/kv/" + key, None, priority)
         if response.status == HTTPStatus.NOT_FOUND:
             return None
-        if response.status != HTTPStatus.OK:
-            raise RequestRejectedError(f"read of {key}: {response.status}")
+        _require_ok(response, "read", key)
         return decode_item(response.body)
 
     async def get_all(
@@ -186,8 +185,7 @@
         path = f"/kv?under={prefix}{since_parameter}&limit={limit}"
         baseline = self._request_baseline()
         response = await self._call("GET", path, None, priority, LIST_TIMEOUT_S)
-        if response.status != HTTPStatus.OK:
-            raise RequestRejectedError(f"list of {prefix}: {response.status}")
+        _require_ok(response, "list", prefix)
         page = decode_page(response.body)
         self._record_revision(baseline, page.revision)
         return page
@@ -224,12 +222,12 @@
         response = await self._call("GET", path, None, RequestPriority.LEADERSHIP, timeout_s, is_long_poll=True)
         if response.status == HTTPStatus.GONE:
             raise WatchCompactedError(prefix)
-        if response.status != HTTPStatus.OK:
-            raise RequestRejectedError(f"watch of {prefix}: {response.status}")
+        _require_ok(response, "watch", prefix)
         try:
             changes = decode_watch(response.body)
         except msgspec.DecodeError as error:
-            raise StoreUnavailableError(f"watch of {prefix}: {error}") from error
+            message = f"watch of {prefix}: {error}"
+            raise StoreUnavailableError(message) from error
         self._record_revision(baseline, changes.revision)
         return changes
 
@@ -254,7 +252,8 @@
         except ConflictError as conflict:
             if epoch_condition.key in conflict.failed_keys and self.guard is not None:
                 self.guard.on_epoch_mismatch()
-                raise StoreUnavailableError("the state service's era is another") from conflict
+                message = "the state service's era is another"
+                raise StoreUnavailableError(message) from conflict
             raise
 
     async def transact_unguarded(
@@ -279,7 +278,8 @@
             if conflict.revision is not None:
                 self._record_revision(baseline, conflict.revision)
             raise ConflictError(conflict.failed_keys)
-        raise RequestRejectedError(f"transaction: {response.status} {response.body[:200]!r}")
+        message = f"transaction: {response.status} {response.body[:200]!r}"
+        raise RequestRejectedError(message)
 
     async def find_changed_keys(
         self, conditions: Sequence[Condition], priority: RequestPriority = RequestPriority.USER
@@ -297,8 +297,7 @@
         """Return a new lease, which ends unless it is renewed within `ttl_s`."""
         body = encode(LeaseRequest(int(ttl_s * 1000)))
         response = await self._call("POST", "/holds", body, RequestPriority.LEADERSHIP)
-        if response.status != HTTPStatus.OK:
-            raise RequestRejectedError(f"hold: {response.status}")
+        _require_ok(response, "hold")
         return decode_lease(response.body).lease_id
 
     async def renew_lease(self, lease_id: LeaseId, timeout_s: Seconds) -> bool:
@@ -307,8 +306,7 @@
         response = await self._call("POST", path, b"{}", RequestPriority.LEADERSHIP, timeout_s)
         if response.status == HTTPStatus.NOT_FOUND:
             return False
-        if response.status != HTTPStatus.OK:
-            raise RequestRejectedError(f"renewal: {response.status}")
+        _require_ok(response, "renewal")
         return True
 
     async def revoke_lease(self, lease_id: LeaseId) -> None:
@@ -375,12 +373,21 @@
             self._request_bucket.back_off()
             if is_transaction:
                 self._write_bucket.back_off()
-            raise StoreUnavailableError("over the service's rate")
+            message = "over the service's rate"
+            raise StoreUnavailableError(message)
         if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             self._record_failure()
-            raise StoreUnavailableError(f"status {response.status}")
+            message = f"status {response.status}"
+            raise StoreUnavailableError(message)
 
     def _record_failure(self) -> None:
         if self.failing_since is None:
             self.failing_since = self._clock.seconds()
             log.info("store failing address=%s", self._address)
+
+
+def _require_ok(response: ClientResponse, operation: str, key: str | None = None) -> None:
+    if response.status != HTTPStatus.OK:
+        subject = operation if key is None else f"{operation} of {key}"
+        message = f"{subject}: {response.status}"
+        raise RequestRejectedError(message)
--- a/meadowcross/store/command_line.py
+++ b/meadowcross/store/command_line.py
@@ -6,7 +6,10 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
+from meadowcross.common.http import HttpClient
+from meadowcross.common.reactor_runner import run_until_complete
 from meadowcross.common.settings import Settings, SettingsError, load_settings
+from meadowcross.common.types import Address
 from meadowcross.store.client import (
     ConflictError,
     IndeterminateResultError,
@@ -26,9 +29,6 @@
     Returns the exit status: 0, or 2 after one line on standard error. Only once in a process, since a reactor does
     not start again.
     """
-    # Importing it late keeps the reactor out of programs that only parse their arguments.
-    from meadowcross.common.reactor_runner import run_until_complete
-
     try:
         settings = load_settings(config_path)
     except SettingsError as error:
@@ -49,11 +49,7 @@
 
 
 async def _run_connected(settings: Settings, command: StoreCommand) -> None:
-    # Importing the reactor installs it, which must not happen before the command runs.
-    from twisted.internet import reactor
-
-    from meadowcross.common.http import HttpClient
-    from meadowcross.common.types import Address
+    from twisted.internet import reactor  # noqa: PLC0415 - installs the reactor, which only a running command needs
 
     clock: Any = reactor
     await command(StoreClient(clock, HttpClient(clock), Address(settings.outside.state), settings.facts.state))
--- a/meadowcross/store/group_commit.py
+++ b/meadowcross/store/group_commit.py
@@ -118,7 +118,7 @@
         store: StoreClient,
         leader_condition: Condition,
         reread_keys: Callable[[list[str]], Awaitable[None]],
-        on_written: Callable[[Revision, Sequence[Change]], None] = lambda revision, changes: None,
+        on_written: Callable[[Revision, Sequence[Change]], None] = lambda _revision, _changes: None,
     ) -> None:
         self._clock = clock
         self._store = store
