--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -55,7 +55,7 @@
     """What an earlier leader left in the store, and workers that run it."""
     from meadowcross.autoscaling.messages import MachineRecord
     from meadowcross.common.types import Address, WallTime
-    from tests.conftest import job
+    from tests.support.world import job
 
     state = world.state
     state.txn_ops = 10**9
@@ -125,7 +125,7 @@
     from meadowcross.workers.api import WorkerApi
     from meadowcross.workers.heartbeat_tracker import HeartbeatTracker
     from meadowcross.workers.messages import decode_heartbeat
-    from tests.conftest import World, encode, job
+    from tests.support.world import World, encode, job
 
     world = World()
     world.reporting = False
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -36,7 +36,7 @@
     """Machines full of arrays whose tasks end after 5 to 40 s, jobs coming, users asking."""
     from meadowcross.common.settings import OperatorSettings
     from meadowcross.estimates import messages as em
-    from tests.conftest import World, job
+    from tests.support.world import World, job
 
     chance = Random(1)
     world = World()
--- a/benchmarks/tickets.py
+++ b/benchmarks/tickets.py
@@ -35,7 +35,7 @@
 
 def measure(count: int) -> Cost:
     from meadowcross.openjd import records as r
-    from tests.test_gateway import CHAIN, Farm
+    from tests.openjd.test_gateway import CHAIN, Farm
 
     farm = Farm(3)
     for gateway in farm.gateways.values():
--- a/tests/test_sizing.py
+++ b/tests/autoscaling/test_sizing.py
@@ -21,7 +21,7 @@
 from meadowcross.common.types import MachineId, MachineKind
 from meadowcross.jobs.messages import JobSpec
 from simulation.standins import TYPES
-from tests.conftest import job
+from tests.support.world import job
 
 KINDS = {t.name: t for t in decode_machine_types(encode({"builds": TYPES})).types}
 DEAR = find_expensive_kinds(KINDS.values(), 2.0)
--- a/tests/test_end_to_end.py
+++ b/tests/controller/test_end_to_end.py
@@ -12,9 +12,9 @@
 import time
 
 from simulation.standins import CloudService, StateService, Worker, serve
-from tests.conftest import job
+from tests.support.paths import ROOT
+from tests.support.world import job
 
-ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 # Loopback addresses of this process's own, so that fixed ports can't collide.
 NET = f"127.{100 + os.getpid() // 250 % 100}.{os.getpid() % 250}"
 LIMIT_S = 60.0
--- a/tests/test_estimates.py
+++ b/tests/estimates/test_learned_run_times.py
@@ -25,7 +25,7 @@
 from meadowcross.estimates.sketch import Decayed
 from meadowcross.estimates.track import Track
 from meadowcross.jobs.messages import JobSpec
-from tests.conftest import job
+from tests.support.world import job
 
 SPEC = msgspec.convert(job(), JobSpec)
 
--- a/tests/test_estimates_state.py
+++ b/tests/estimates/test_stored_estimates.py
@@ -13,7 +13,7 @@
 from meadowcross.jobs import messages as jm
 from meadowcross.leadership.messages import PeerHeartbeat, decode
 from meadowcross.leadership.peer_link import PeerLink
-from tests.conftest import job
+from tests.support.world import job
 
 CLASS = "est/c/train"
 
--- a/tests/test_api.py
+++ b/tests/jobs/test_api.py
@@ -20,7 +20,7 @@
 from meadowcross.leadership.messages import PeerHeartbeat
 from meadowcross.leadership.peer_link import PeerLink, PeerProtocol
 from meadowcross.store.messages import encode_raw
-from tests.conftest import job
+from tests.support.world import job
 
 BAD = [
     ("not JSON", b"{", 400),
--- a/tests/test_aims.py
+++ b/tests/jobs/test_service_level_objectives.py
@@ -8,7 +8,7 @@
 from meadowcross.common.settings import Objective
 from meadowcross.jobs.messages import JobSpec
 from meadowcross.jobs.objectives import NO_DEADLINE_S, ServiceLevelObjectives, slack
-from tests.conftest import job
+from tests.support.world import job
 
 AIMS = ServiceLevelObjectives(
     [
--- a/tests/test_cancels.py
+++ b/tests/leadership/test_cancellation.py
@@ -25,8 +25,8 @@
 from simulation.net import Cut
 from simulation.scenario import Fault, Jobs, load
 from simulation.world import Lab
-from tests.test_addition import WHERE
-from tests.test_meetings import signs_of
+from tests.simulation.test_isolation_and_starvation import WHERE
+from tests.simulation.test_overlapping_failures import signs_of
 
 CANCEL_S = 24.0
 REFUSED_S, OUTAGE_S, ASIDE_S = 29.4, 30.6, 30.7
--- a/tests/test_incremental.py
+++ b/tests/leadership/test_incremental_snapshot.py
@@ -26,7 +26,7 @@
 from meadowcross.workers.machine import Machine
 from meadowcross.workers.registry import WorkerRegistry
 from simulation.standins import TYPES
-from tests.conftest import SETTINGS, job
+from tests.support.world import SETTINGS, job
 
 KINDS = {t.name: t for t in decode_machine_types(encode({"builds": TYPES})).types}
 EXAMPLES = int(os.environ.get("MEADOWCROSS_EXAMPLES", "0"))
--- a/tests/test_pressure.py
+++ b/tests/leadership/test_large_clusters.py
@@ -16,7 +16,7 @@
 from meadowcross.workers.heartbeat_tracker import HeartbeatTracker
 from meadowcross.workers.messages import encode
 from simulation.standins import Worker
-from tests.conftest import job
+from tests.support.world import job
 
 MOST = 100_000
 
--- a/tests/test_view.py
+++ b/tests/leadership/test_scheduling_snapshot.py
@@ -16,7 +16,7 @@
 from meadowcross.workers.health import FailureTracker
 from meadowcross.workers.registry import WorkerRegistry
 from simulation.standins import TYPES
-from tests.conftest import SETTINGS, job
+from tests.support.world import SETTINGS, job
 
 WARM_ONLY = [
     # name, class, aim on the start, seconds since its submission, image; fetched at 1 GB a second
--- a/tests/test_scale.py
+++ b/tests/loadtest/test_loadtest.py
@@ -6,7 +6,6 @@
 import socket
 import subprocess
 import sys
-from pathlib import Path
 
 import pytest
 
@@ -18,8 +17,8 @@
 from loadtest.run import Interval, Usage
 from loadtest.verdict import Replay
 from simulation.judge import Spec
+from tests.support.paths import ROOT
 
-ROOT = Path(__file__).resolve().parent.parent
 PLANS = sorted((ROOT / "examples" / "loadtest").rglob("*.toml"))
 SHORT = ROOT / "examples" / "loadtest" / "short.toml"
 
--- a/tests/test_gateway.py
+++ b/tests/openjd/test_gateway.py
@@ -21,8 +21,9 @@
 from meadowcross.openjd.members import owner_of
 from meadowcross.openjd.site import Site
 from simulation.standins import FakeNet, StateService
-from tests.conftest import World
-from tests.test_tickets import HEAD, ROOT, RUN, SITE
+from tests.openjd.test_job_templates import HEAD, RUN, SITE
+from tests.support.paths import ROOT
+from tests.support.world import World
 
 CHAIN = (ROOT / "examples/tickets/06-chain.yaml").read_text()
 ONE = (ROOT / "examples/tickets/01-one-step.yaml").read_text()
--- a/tests/test_tickets.py
+++ b/tests/openjd/test_job_templates.py
@@ -4,7 +4,6 @@
 
 import json
 import os
-from pathlib import Path
 
 import pytest
 from hypothesis import given, settings
@@ -20,8 +19,8 @@
 from meadowcross.openjd.reading import MAX_BYTES, TicketError, job_of, task_parameters
 from meadowcross.openjd.site import load
 from simulation.standins import TYPES
+from tests.support.paths import ROOT
 
-ROOT = Path(__file__).parent.parent
 SITE = load(str(ROOT / "deploy" / "tickets.xml"))
 AGENCY = SITE.submitters[0]
 EXAMPLES = sorted((ROOT / "examples" / "tickets").iterdir())
--- a/tests/test_keys.py
+++ b/tests/openjd/test_keys.py
@@ -18,8 +18,8 @@
 from meadowcross.openjd.keys import SERVER, SUBMITTER, Authority, KeyTrouble, read_private
 from meadowcross.openjd.signing import Signatures, signature
 from simulation.standins import FakeNet, StateService, serve
-from tests.test_gateway import ONE, Nodes
-from tests.test_tickets import ROOT
+from tests.openjd.test_gateway import ONE, Nodes
+from tests.support.paths import ROOT
 
 SECRET = b"a secret of the agency"
 
--- a/tests/test_engine.py
+++ b/tests/placement/test_engine.py
@@ -15,7 +15,7 @@
 from meadowcross.placement.model import Candidate, PendingJob, QuotaHeadroom, Reservation
 from meadowcross.placement.scoring import network_term, resource_term, score
 from meadowcross.placement.victims import Victim, select_victims, select_victims_constrained
-from tests.conftest import job
+from tests.support.world import job
 
 WEIGHTS = OperatorSettings()
 
--- a/tests/test_preemption.py
+++ b/tests/placement/test_preemption.py
@@ -11,7 +11,7 @@
 from meadowcross.placement.engine import place
 from meadowcross.placement.preemption import PreemptionPlanner, is_urgent
 from meadowcross.placement.victims import Victim, mark_borrowed
-from tests.test_engine import offer, rooms, want
+from tests.placement.test_engine import offer, rooms, want
 
 
 def victim(key="v", machine="m", rank=3, cpus=1.0, team="b", borrowed=False, loss=1.0, save_s=None):
--- a/tests/test_rebuild.py
+++ b/tests/recovery/test_recovery.py
@@ -22,8 +22,8 @@
 from meadowcross.store.token_bucket import RequestPriority
 from simulation.scenario import Fault, load
 from simulation.world import Lab
-from tests.test_lab import EXAMPLES
-from tests.test_replica import follow, write
+from tests.replication.test_replication import follow, write
+from tests.simulation.test_scenarios import EXAMPLES
 
 # Tokens
 
--- a/tests/test_replica.py
+++ b/tests/replication/test_replication.py
@@ -21,8 +21,8 @@
 from meadowcross.store.messages import Event, Item
 from simulation.scenario import Fault, load
 from simulation.world import Lab
-from tests.conftest import SETTINGS
-from tests.test_lab import EXAMPLES
+from tests.simulation.test_scenarios import EXAMPLES
+from tests.support.world import SETTINGS
 
 
 def wrote(key, mark, value=b"1"):
--- a/tests/test_hunt.py
+++ b/tests/simulation/test_failures_during_work.py
@@ -17,9 +17,8 @@
 from meadowcross.leadership.term import LeaderTerm
 from meadowcross.workers.registry import TaskChange, WorkerRegistry
 from simulation.judge import WAITS_S, Judge, Spec
-from tests.test_addition import deaf_is_gone, largest_starved
-from tests.test_lab import no_limits, placements_forgotten, starts_before_storing
-from tests.test_meetings import (
+from tests.simulation.test_isolation_and_starvation import deaf_is_gone, largest_starved
+from tests.simulation.test_overlapping_failures import (
     FLOW,
     LONG,
     STAYS,
@@ -30,6 +29,7 @@
     signs_of,
     unheard_is_gone,
 )
+from tests.simulation.test_scenarios import no_limits, placements_forgotten, starts_before_storing
 
 CLOUD_DOWN = {"kind": "cloud_outage", "at_s": 28.0, "for_s": 34.0}
 CALLED_OFF = {"class": "idle", "tasks": 2, "run_s": 200.0, "count": 30, "at_s": 8.0, "every_s": 1.0}
--- a/tests/test_addition.py
+++ b/tests/simulation/test_isolation_and_starvation.py
@@ -14,7 +14,7 @@
 from simulation.judge import BEGIN_S, FORGOTTEN_S, Judge, Spec
 from simulation.scenario import Fault, load
 from simulation.world import Lab
-from tests.test_lab import EXAMPLES, placements_forgotten
+from tests.simulation.test_scenarios import EXAMPLES, placements_forgotten
 
 WHERE = EXAMPLES[0].parent
 
--- a/tests/test_meetings.py
+++ b/tests/simulation/test_overlapping_failures.py
@@ -16,9 +16,9 @@
 from meadowcross.workers import dispatcher
 from simulation.scenario import Fault, Jobs, load
 from simulation.world import Lab
-from tests.mix import mixed
-from tests.test_addition import WHERE, copies_are_new, deaf_is_gone
-from tests.test_lab import done_with_the_first, no_leader_condition, placements_forgotten
+from tests.simulation.test_isolation_and_starvation import WHERE, copies_are_new, deaf_is_gone
+from tests.simulation.test_scenarios import done_with_the_first, no_leader_condition, placements_forgotten
+from tests.support.combined_failures import mixed
 
 
 class Meeting:
--- a/tests/test_relay_lab.py
+++ b/tests/simulation/test_relays.py
@@ -15,8 +15,8 @@
 from meadowcross.workers.registry import TaskChange, TaskOutcome
 from simulation.scenario import Fault, Jobs, load
 from simulation.world import Lab
-from tests.test_addition import WHERE
-from tests.test_meetings import signs_of
+from tests.simulation.test_isolation_and_starvation import WHERE
+from tests.simulation.test_overlapping_failures import signs_of
 
 LONG = {"class": "long", "tasks": 12, "run_s": 40.0, "count": 8, "every_s": 1.0}
 FLOW = {"class": "flow", "team": "a", "tasks": 4, "run_s": 5.0, "count": 70, "at_s": 3.0, "every_s": 1.0}
--- a/tests/test_lab.py
+++ b/tests/simulation/test_scenarios.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import json
-import pathlib
 import subprocess
 import sys
 
@@ -20,8 +19,9 @@
 from meadowcross.workers.registry import WorkerRegistry
 from simulation.scenario import ScenarioError, load
 from simulation.world import Lab
+from tests.support.paths import ROOT
 
-EXAMPLES = sorted(pathlib.Path(__file__).parent.parent.joinpath("examples", "simulation").glob("*.toml"))
+EXAMPLES = sorted(ROOT.joinpath("examples", "simulation").glob("*.toml"))
 
 
 def play(name: str, seed: int = 1) -> dict:
--- a/tests/mix.py
+++ b/tests/support/combined_failures.py
@@ -1,6 +1,8 @@
-"""All troubles together at some 170 machines: `python -m tests.mix FIRST LAST [always]` plays these seeds, a line each,
-exit 1 if a rule broke; `always`: with relays. Half of each play's troubles are drawn from the addition's, half from the
-meetings'."""
+"""All kinds of failures together at some 170 machines, half of them drawn from each of two lists.
+
+`python -m tests.support.combined_failures FIRST LAST [always]` plays these seeds, a line each, exit 1 if a rule broke;
+`always`: with relays.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +15,7 @@
 
 from simulation.scenario import Fault, Jobs, Team, Type, load
 from simulation.world import Lab
-from tests.test_addition import MIX, WHERE
+from tests.simulation.test_isolation_and_starvation import MIX, WHERE
 
 LASTS_S = 200.0
 """Long enough for the long tasks to be done after an outage of 45 s in which all leases ran out."""
@@ -93,5 +95,5 @@
 if __name__ == "__main__":
     if os.environ.get("PYTHONHASHSEED", "random") == "random":
         os.environ["PYTHONHASHSEED"] = "0"
-        os.execv(sys.executable, [sys.executable, "-m", "tests.mix", *sys.argv[1:]])
+        os.execv(sys.executable, [sys.executable, "-m", "tests.support.combined_failures", *sys.argv[1:]])
     sys.exit(main(int(sys.argv[1]), int(sys.argv[2]), *sys.argv[3:4]))
--- a/tests/kept_tests.py
+++ b/tests/support/kept_tests.py
@@ -2,8 +2,8 @@
 
 `tests/data/test_ids_before.txt` holds the ids that `pytest --collect-only -q` gave then; `tests/data/renamed_tests.tsv`
 the renames, `OLD<TAB>NEW` a line, `#` begins a comment. OLD and NEW are two files, two tests (with all their cases) or
-two single cases; the most exact line counts. `python -m tests.kept_tests [ROOT]` collects the present ids and compares:
-exit 1 with a line for each that is lost, 2 where the files can't be used or the tests can't be collected.
+two single cases; the most exact line counts. `python -m tests.support.kept_tests [ROOT]` collects the present ids and
+compares: exit 1 with a line for each that is lost, 2 where the files can't be used or the tests can't be collected.
 """
 
 from __future__ import annotations
--- a/tests/known_red.py
+++ b/tests/support/known_red.py
@@ -1,8 +1,8 @@
 """Tests that fail for a real fault which is not mended yet: `KNOWN-RED.txt` at the root, read here only.
 
 A line is `TEST | CAUSE | ISSUE`, three lines at most; `#` begins a comment. Such tests are expected to fail, strictly:
-one that passes again must leave the list. `python -m tests.known_red [ROOT]` prints the list and checks that each line
-names a test; exit 2 with one line that says what is wrong.
+one that passes again must leave the list. `python -m tests.support.known_red [ROOT]` prints the list and checks that
+each line names a test; exit 2 with one line that says what is wrong.
 """
 
 from __future__ import annotations
--- a/tests/test_kept_tests.py
+++ b/tests/support/test_kept_tests.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.kept_tests import find_problems, read_renames
+from tests.support.kept_tests import find_problems, read_renames
 
 BEFORE = ["tests/test_a.py::test_x", "tests/test_a.py::test_y[1]", "tests/test_a.py::test_y[a::b[c]]"]
 
--- a/tests/test_known_red.py
+++ b/tests/support/test_known_red.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 import os
-import pathlib
 import subprocess
 import sys
 
 import pytest
 
-ROOT = pathlib.Path(__file__).parent.parent
+from tests.support.paths import ROOT
+
 TESTS = "def test_a():\n    assert False\n\ndef test_b():\n    pass\n\ndef test_c():\n    assert False\n"
 LISTS = [
     # the list, the status of the check, of the tests, what is said
@@ -38,6 +38,6 @@
         command = [sys.executable, "-m", *arguments]
         return subprocess.run(command, cwd=tmp_path, env=environment, capture_output=True, text=True, check=False)
 
-    assert run("tests.known_red", ".").returncode == check
-    told = run("pytest", "-q", "-n", "0", "-p", "tests.known_red")
+    assert run("tests.support.known_red", ".").returncode == check
+    told = run("pytest", "-q", "-n", "0", "-p", "tests.support.known_red")
     assert told.returncode == status and said in told.stdout + told.stderr
--- a/tests/test_unhandled.py
+++ b/tests/support/test_unhandled_errors.py
@@ -8,7 +8,7 @@
 
 from simulation.scenario import load
 from simulation.world import Lab
-from tests.test_lab import EXAMPLES
+from tests.simulation.test_scenarios import EXAMPLES
 
 
 def test_an_error_that_nobody_handles_is_found(unhandled_errors):
--- a/tests/test_departures.py
+++ b/tests/workers/test_eviction.py
@@ -11,7 +11,7 @@
 from meadowcross.jobs.messages import JobRecord, JobSpec
 from meadowcross.workers.eviction import overdue_cancellations, plan_drain_evictions, plan_reclaim_evictions
 from meadowcross.workers.machine import Machine
-from tests.conftest import job
+from tests.support.world import job
 
 NOW = Instant(100.0)
 
--- a/tests/test_health.py
+++ b/tests/workers/test_health.py
@@ -9,7 +9,7 @@
 from meadowcross.jobs.job_table import JobTable, PlacementPhase
 from meadowcross.jobs.messages import JobRecord, JobSpec, decode_spec
 from meadowcross.workers.health import MAX_PAUSE_S, FailureTracker
-from tests.conftest import job
+from tests.support.world import job
 
 # Each event: what happens, job, machine. "start" places a task, which runs a second later; "fail"
 # and "done" end one there; "wait" passes ten seconds, and what runs lives on.
--- a/tests/test_roster.py
+++ b/tests/workers/test_worker_registry.py
@@ -11,7 +11,7 @@
 from meadowcross.workers.machine import Machine
 from meadowcross.workers.messages import Heartbeat, TaskReport, TaskState
 from meadowcross.workers.registry import StaleTokenError, TaskChange, WorkerRegistry
-from tests.conftest import job
+from tests.support.world import job
 
 TASK = TaskId(JobId("wk-000001"), 0)
 
