--- a/meadowcross/controller/controller.py
+++ b/meadowcross/controller/controller.py
@@ -113,7 +113,7 @@
         from meadowcross.recovery.collect import StateRecovery, build_replica_part
         from meadowcross.recovery.messages import LEADER_KEY, RecoveryStage, ReplicaPart, ReplicaPartRequest
         from meadowcross.recovery.store_epochs import StoreEpochs
-        from meadowcross.relay.pool import RelayPool
+        from meadowcross.relay.pool import RelayPool, RelayPoolSettings, WorkerClients
         from meadowcross.relay.relay import Relay
         from meadowcross.relay.service import RelayService
         from meadowcross.replication.follower import ReplicaFollower
@@ -172,13 +172,14 @@
                     node,
                     token,
                     self.peer_link,
-                    http,
-                    short_lived_http,
-                    operator.relays,
-                    socket_allowance(settings, DIRECT_WORKERS_PER_SOCKET),
-                    {NodeName(peer.host_name): peer.zone for peer in settings.peers},
-                    facts.workers.report_s,
-                    operator.silent_s,
+                    WorkerClients(http, short_lived_http),
+                    RelayPoolSettings(
+                        operator.relays,
+                        socket_allowance(settings, DIRECT_WORKERS_PER_SOCKET),
+                        {NodeName(peer.host_name): peer.zone for peer in settings.peers},
+                        facts.workers.report_s,
+                        operator.silent_s,
+                    ),
                     self.peer_link.fresh_heartbeats,
                 )
                 if operator.relays is not RelayMode.NEVER
--- a/meadowcross/relay/messages.py
+++ b/meadowcross/relay/messages.py
@@ -1,6 +1,7 @@
-"""What a leader and its relays exchange over the controllers' link.
+"""Messages between a leader and its relays, on the controllers' link.
 
-Workers' own messages travel inside as they are, so that their wire names stay with the workers' slice.
+Workers' own messages are carried as raw JSON, so that their wire names stay in `workers.messages`. Durations are in
+seconds; `number` pairs a request with its answer on one connection.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 from meadowcross.common.types import Address, FencingToken, MachineId, NodeName, Seconds
 
 MAX_MACHINES_PER_MESSAGE = 2_000
-"""Machines named in one message; it fits a netstring with room to spare."""
+"""A message with this many names is well below the limit of a netstring."""
 
 
 class RelayGrant(Struct, tag="grant", tag_field="kind"):
-    """The leader lets a node answer reports with its token, until so long after this came."""
+    """The leader lets a node answer heartbeats with its token, for `expires_s` from the arrival of this message."""
 
     node: NodeName
     token: FencingToken
@@ -25,7 +26,7 @@
 
 
 class HeartbeatRenewal(NamedTuple):
-    """A report that said nothing new: whose it is, which one, and the whole one that it repeats."""
+    """A heartbeat (`incarnation`, `seq`) that repeats the full one (`incarnation`, `full_seq`) of its worker."""
 
     machine: MachineId
     incarnation: int
@@ -34,7 +35,7 @@
 
 
 class HeartbeatRenewals(Struct, tag="renewals", tag_field="kind"):
-    """Reports that a relay answered by itself since its last message."""
+    """Heartbeats that a relay answered by itself since its last message."""
 
     node: NodeName
     token: FencingToken
@@ -42,14 +43,14 @@
 
 
 class ResendRequest(Struct, tag="resend", tag_field="kind"):
-    """The leader wants the next report of these machines whole."""
+    """The leader asks for the next heartbeat of these machines in full."""
 
     token: FencingToken
     machines: Annotated[list[MachineId], Meta(max_length=MAX_MACHINES_PER_MESSAGE)]
 
 
 class RelayedWorkers(Struct, tag="held", tag_field="kind"):
-    """Told to a new leader: the machines that report to this relay."""
+    """For a new leader: the machines that send their heartbeats to this relay."""
 
     node: NodeName
     token: FencingToken
@@ -57,7 +58,7 @@
 
 
 class ForwardedHeartbeat(Struct, tag="report?", tag_field="kind"):
-    """A worker's report that says something new."""
+    """A worker's full heartbeat."""
 
     number: int
     node: NodeName
@@ -66,17 +67,17 @@
 
 
 class HeartbeatAnswer(Struct, tag="report", tag_field="kind"):
-    """The leader's answer, to be passed on as it is."""
+    """The leader's response, for the relay to return unchanged."""
 
     number: int
     status: int
     body: Raw
     is_repeatable: bool = field(name="settled", default=False)
-    """The same report again would be answered in the same way, with no command."""
+    """The same heartbeat again would get the same response, without commands."""
 
 
 class ForwardedCommands(Struct, tag="commands?", tag_field="kind"):
-    """Commands for a worker whose session the relay holds."""
+    """Commands to a worker of the relay."""
 
     number: int
     token: FencingToken
@@ -85,7 +86,7 @@
 
 
 class DeliveryOutcome(Enum):
-    """What became of commands; only a request that was certainly not sent may be taken back."""
+    """How a request to a worker ended; only one that was certainly not sent may be taken back."""
 
     NOT_SENT = "not_sent"
     UNANSWERED = "unanswered"
@@ -93,7 +94,7 @@
 
 
 class CommandsAnswer(Struct, tag="commands", tag_field="kind"):
-    """The outcome, with the worker's answer where there was one."""
+    """The outcome, with the worker's response if there was one."""
 
     number: int
     outcome: DeliveryOutcome
--- a/meadowcross/relay/relay.py
+++ b/meadowcross/relay/relay.py
@@ -1,15 +1,15 @@
-"""The relay's side: holds workers' sessions while the leader grants it, and decides nothing.
+"""The relay's side: answers workers while it has the leader's grant, and decides nothing.
 
-A report like the last whole one is answered here, with the leader's token and no commands; any other goes whole to the
-leader. Without a renewed grant, or once a higher token is seen anywhere, workers are turned away as by any node that
-does not lead.
+A heartbeat that repeats the last full one is answered here, with the leader's token and no commands; any other is
+forwarded to the leader in full. Without a renewed grant, or once a higher token is seen, workers are redirected as by
+any node that does not lead.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
-from typing import Protocol
+from typing import Protocol, TypeVar
 
 import msgspec
 from msgspec import Raw
@@ -18,40 +18,53 @@
 from meadowcross.common.http import ConnectionFailedError, HttpClient, NoResponseError, ServerResponse, error_response
 from meadowcross.common.logging import get_logger
 from meadowcross.common.types import FencingToken, Instant, MachineId, NodeName, Seconds
-from meadowcross.relay import messages as m
-from meadowcross.workers import messages as wm
+from meadowcross.relay.messages import (
+    MAX_MACHINES_PER_MESSAGE,
+    CommandsAnswer,
+    DeliveryOutcome,
+    ForwardedCommands,
+    ForwardedHeartbeat,
+    HeartbeatAnswer,
+    HeartbeatRenewal,
+    HeartbeatRenewals,
+    RelayedWorkers,
+    RelayGrant,
+    ResendRequest,
+)
 from meadowcross.workers.dispatcher import COMMAND_TIMEOUT_S
+from meadowcross.workers.messages import Heartbeat, HeartbeatResponse, encode
 
 log = get_logger("relay")
 
 FORWARD_TIMEOUT_S: Seconds = 3.0
-"""A worker waits 4 s for its answer (the protocol)."""
+"""Less than the 4 s that a worker waits for its response (by the protocol)."""
 RENEWAL_INTERVAL_S: Seconds = 0.5
 WORKER_RETENTION_S: Seconds = 60.0
-"""A worker that has not come for so long is at another node, or gone."""
+"""A worker without a heartbeat for this long is at another node, or gone."""
 
 
 class LeaderLink(Protocol):
-    """Of the controllers' link, what a relay needs. `ask_leader` raises NotSent and Unanswered."""
+    """The part of the controllers' link that a relay needs. `ask_leader` raises ConnectionFailedError and
+    NoResponseError."""
 
-    def send_relay(self, message: m.HeartbeatRenewals | m.RelayedWorkers, peer: NodeName) -> bool: ...
+    def send_relay(self, message: HeartbeatRenewals | RelayedWorkers, peer: NodeName) -> bool: ...
     async def ask_leader(
-        self, leader: NodeName, make_request: Callable[[int], m.ForwardedHeartbeat], timeout_s: Seconds
-    ) -> m.HeartbeatAnswer: ...
+        self, leader: NodeName, make_request: Callable[[int], ForwardedHeartbeat], timeout_s: Seconds
+    ) -> HeartbeatAnswer: ...
 
 
 @dataclass(slots=True)
 class RelayedWorker:
-    """A worker that reports here: its last whole report, and the newest one that was answered."""
+    """A worker that sends its heartbeats here: the last full one, and the newest that was answered."""
 
-    full_heartbeat: wm.Heartbeat
+    full_heartbeat: Heartbeat
     is_repeatable: bool
-    """The leader has nothing to say to that report."""
+    """The leader has no commands in response to the full heartbeat."""
     seq: int
     last_heartbeat_at: Instant
 
-    def is_repeated_by(self, heartbeat: wm.Heartbeat) -> bool:
-        """Whether a newer report says what the last whole one said, to which the leader has nothing to say."""
+    def is_repeated_by(self, heartbeat: Heartbeat) -> bool:
+        """Whether the heartbeat is newer, says the same as the full one, and needs no response of the leader's."""
         return (
             self.is_repeatable
             and heartbeat.seq > self.seq
@@ -64,6 +77,8 @@
 
 
 class Relay:
+    """Answers and forwards heartbeats, and sends the leader's commands, under the grant of one leader at a time."""
+
     def __init__(
         self,
         clock: Clock,
@@ -71,35 +86,37 @@
         link: Callable[[], LeaderLink],
         http: HttpClient,
     ) -> None:
+        """`node` is this node; `http` sends commands to workers."""
         self._clock = clock
         self._node = node
         self._link = link
         self._http = http
-        self._grant: m.RelayGrant | None = None
+        self._grant: RelayGrant | None = None
         self._grant_expires_at = Instant(0.0)
         self._highest_token = FencingToken(0)
         self._workers: dict[MachineId, RelayedWorker] = {}
-        self._pending_renewals: dict[MachineId, m.HeartbeatRenewal] = {}
+        self._pending_renewals: dict[MachineId, HeartbeatRenewal] = {}
         self._is_flush_scheduled = False
 
     @property
     def now(self) -> Instant:
+        """The instant on this node's clock."""
         return Instant(self._clock.seconds())
 
-    def active_grant(self) -> m.RelayGrant | None:
-        """The grant by which this node answers workers now; None where it must not."""
+    def active_grant(self) -> RelayGrant | None:
+        """The grant by which this node may answer workers now, or None."""
         if self._grant is not None and self.now < self._grant_expires_at and self._grant.token >= self._highest_token:
             return self._grant
         return None
 
-    def accept_grant(self, grant: m.RelayGrant) -> None:
-        """A leader's word. One of an earlier term than was seen anywhere counts for nothing."""
+    def accept_grant(self, grant: RelayGrant) -> None:
+        """Take a leader's grant, unless a higher token than its own was seen."""
         if grant.token < self._highest_token:
             return
         is_new_term = self._grant is None or self._grant.token != grant.token
         if is_new_term:
             log.info("relays for %s, token %d, %d sessions held", grant.node, grant.token, len(self._workers))
-            # Whole reports were judged by another term: the next one of each worker is passed on.
+            # Another term handled the full heartbeats: the next one of each worker is forwarded.
             for worker in self._workers.values():
                 worker.is_repeatable = False
             self._pending_renewals.clear()
@@ -108,44 +125,42 @@
         if is_new_term:
             self._announce_workers(grant)
 
-    def _announce_workers(self, grant: m.RelayGrant) -> None:
+    def _announce_workers(self, grant: RelayGrant) -> None:
         machines = list(self._workers)
-        for first in range(0, len(machines), m.MAX_MACHINES_PER_MESSAGE):
-            part = machines[first : first + m.MAX_MACHINES_PER_MESSAGE]
-            self._link().send_relay(m.RelayedWorkers(self._node, grant.token, part), grant.node)
+        for part in _split(machines):
+            self._link().send_relay(RelayedWorkers(self._node, grant.token, part), grant.node)
 
     def on_token_seen(self, token: FencingToken) -> None:
-        """A token was seen, by whatever way: an earlier leader's grant is worth nothing from now on."""
+        """A token was seen, in any message: grants with a lower one are void from now on."""
         if token > self._highest_token:
             self._highest_token = token
             if self._grant is not None:
                 log.info("relays for %s no more: token %d was seen", self._grant.node, token)
 
-    def request_full_heartbeats(self, request: m.ResendRequest) -> None:
-        """The leader wants the next reports of these machines whole."""
+    def request_full_heartbeats(self, request: ResendRequest) -> None:
+        """Forward the next heartbeat of each of these machines, whatever it says."""
         if self._grant is not None and request.token == self._grant.token:
             for machine in request.machines:
                 if (worker := self._workers.get(machine)) is not None:
                     worker.is_repeatable = False
 
-    # Reports
-
-    def answer_unchanged(self, heartbeat: wm.Heartbeat) -> ServerResponse | None:
-        """The answer to a report that says nothing new; None: it must be passed on, or nothing is granted."""
+    def answer_unchanged(self, heartbeat: Heartbeat) -> ServerResponse | None:
+        """The response to a heartbeat that repeats the last full one; None if it must be forwarded, and without a
+        grant."""
         self.on_token_seen(heartbeat.token)
         grant = self.active_grant()
         worker = self._workers.get(heartbeat.machine)
         if grant is None or worker is None or not worker.is_repeated_by(heartbeat):
             return None
-        # Put last, so that whoever came least lately stays first.
+        # Moved to the end: the dictionary is in the order of last heartbeats.
         del self._workers[heartbeat.machine]
         self._workers[heartbeat.machine] = worker
         worker.seq, worker.last_heartbeat_at = heartbeat.seq, self.now
         self._record_renewal(heartbeat, worker)
-        return ServerResponse(200, wm.encode(wm.HeartbeatResponse(grant.token, [])) + b"\n")
+        return ServerResponse(200, encode(HeartbeatResponse(grant.token, [])) + b"\n")
 
-    def _record_renewal(self, heartbeat: wm.Heartbeat, worker: RelayedWorker) -> None:
-        self._pending_renewals[heartbeat.machine] = m.HeartbeatRenewal(
+    def _record_renewal(self, heartbeat: Heartbeat, worker: RelayedWorker) -> None:
+        self._pending_renewals[heartbeat.machine] = HeartbeatRenewal(
             heartbeat.machine, heartbeat.incarnation, worker.full_heartbeat.seq, heartbeat.seq
         )
         if not self._is_flush_scheduled:
@@ -157,9 +172,8 @@
         renewals, self._pending_renewals = list(self._pending_renewals.values()), {}
         grant = self.active_grant()
         if grant is not None:
-            for first in range(0, len(renewals), m.MAX_MACHINES_PER_MESSAGE):
-                part = renewals[first : first + m.MAX_MACHINES_PER_MESSAGE]
-                self._link().send_relay(m.HeartbeatRenewals(self._node, grant.token, part), grant.node)
+            for part in _split(renewals):
+                self._link().send_relay(HeartbeatRenewals(self._node, grant.token, part), grant.node)
         self._forget_old()
 
     def _forget_old(self) -> None:
@@ -170,16 +184,16 @@
                 break
             del self._workers[machine]
 
-    async def forward_heartbeat(self, heartbeat: wm.Heartbeat, body: bytes) -> ServerResponse | None:
-        """A report that says something new goes to the leader, and its answer comes back; None: turn the worker away
-        as a node that does not lead."""
+    async def forward_heartbeat(self, heartbeat: Heartbeat, body: bytes) -> ServerResponse | None:
+        """Forward a heartbeat to the leader; returns its response, 503 if none came, or None if the worker must be
+        redirected as by a node that does not lead."""
         grant = self.active_grant()
         if grant is None:
             return None
         try:
             answer = await self._link().ask_leader(
                 grant.node,
-                lambda number: m.ForwardedHeartbeat(number, self._node, grant.token, Raw(body)),
+                lambda number: ForwardedHeartbeat(number, self._node, grant.token, Raw(body)),
                 FORWARD_TIMEOUT_S,
             )
         except (ConnectionFailedError, NoResponseError) as error:
@@ -194,32 +208,39 @@
             self._workers.pop(heartbeat.machine, None)
         return ServerResponse(answer.status, bytes(answer.body) + b"\n")
 
-    def _keep_worker(self, heartbeat: wm.Heartbeat, is_repeatable: bool) -> None:
+    def _keep_worker(self, heartbeat: Heartbeat, is_repeatable: bool) -> None:
         previous = self._workers.pop(heartbeat.machine, None)
         if previous is not None and previous.full_heartbeat.version > heartbeat.version:
-            # A copy, come late.
+            # A late copy.
             self._workers[heartbeat.machine] = previous
             return
         self._workers[heartbeat.machine] = RelayedWorker(heartbeat, is_repeatable, heartbeat.seq, self.now)
 
-    # Commands
-
-    async def send_commands(self, request: m.ForwardedCommands) -> m.CommandsAnswer:
-        """Commands of the leader for a worker, and what became of them."""
+    async def send_commands(self, request: ForwardedCommands) -> CommandsAnswer:
+        """Send the leader's commands to a worker; returns the outcome."""
         grant = self.active_grant()
         if grant is None or request.token != grant.token:
-            return m.CommandsAnswer(request.number, m.DeliveryOutcome.NOT_SENT)
+            return CommandsAnswer(request.number, DeliveryOutcome.NOT_SENT)
         try:
             reply = await self._http.call("POST", request.address, "/commands", bytes(request.body), COMMAND_TIMEOUT_S)
         except ConnectionFailedError:
-            return m.CommandsAnswer(request.number, m.DeliveryOutcome.NOT_SENT)
+            return CommandsAnswer(request.number, DeliveryOutcome.NOT_SENT)
         except NoResponseError:
-            return m.CommandsAnswer(request.number, m.DeliveryOutcome.UNANSWERED)
-        return m.CommandsAnswer(request.number, m.DeliveryOutcome.ANSWERED, reply.status, _as_json(reply.body))
+            return CommandsAnswer(request.number, DeliveryOutcome.UNANSWERED)
+        return CommandsAnswer(request.number, DeliveryOutcome.ANSWERED, reply.status, _as_json(reply.body))
+
+
+Item = TypeVar("Item")
+
+
+def _split(items: list[Item]) -> Iterator[list[Item]]:
+    """Parts that fit one message each."""
+    for first in range(0, len(items), MAX_MACHINES_PER_MESSAGE):
+        yield items[first : first + MAX_MACHINES_PER_MESSAGE]
 
 
 def _as_json(body: bytes) -> Raw:
-    """A worker's answer, to be passed on inside a message; what is no JSON is passed on as null."""
+    """A worker's response to carry in a message; null if it is not JSON."""
     try:
         msgspec.json.decode(body, type=Raw)
     except msgspec.DecodeError:
--- a/meadowcross/relay/service.py
+++ b/meadowcross/relay/service.py
@@ -1,4 +1,4 @@
-"""A node's part in relaying, by what it is now: relay for a leader, or the leader that its relays speak to."""
+"""Hands relaying messages to this node's current role: a relay of a leader, or the leader of relays."""
 
 from __future__ import annotations
 
@@ -9,28 +9,37 @@
 from msgspec import Raw
 
 from meadowcross.common.types import FencingToken, NodeName
-from meadowcross.relay import messages as m
+from meadowcross.relay.messages import (
+    CommandsAnswer,
+    ForwardedCommands,
+    ForwardedHeartbeat,
+    HeartbeatAnswer,
+    HeartbeatRenewals,
+    RelayedWorkers,
+    RelayGrant,
+    ResendRequest,
+)
 from meadowcross.relay.pool import RelayPool
 from meadowcross.relay.relay import Relay
-from meadowcross.workers import messages as wm
+from meadowcross.workers.messages import Heartbeat, HeartbeatResponse, Redirect, decode_heartbeat, encode
 
 HTTP_OK, HTTP_BAD_REQUEST, HTTP_MISDIRECTED_REQUEST = 200, 400, 421
 
 
 class RelayingTerm(Protocol):
-    """Of a term, what relays need."""
+    """The part of a leader's term that relaying needs."""
 
     token: FencingToken
     relay_pool: RelayPool | None
 
     def handle_heartbeat(
-        self, heartbeat: wm.Heartbeat, relay: NodeName | None = None
-    ) -> wm.HeartbeatResponse | wm.Redirect | None: ...
-    def is_settled(self, heartbeat: wm.Heartbeat) -> bool: ...
+        self, heartbeat: Heartbeat, relay: NodeName | None = None
+    ) -> HeartbeatResponse | Redirect | None: ...
+    def is_settled(self, heartbeat: Heartbeat) -> bool: ...
 
 
 class RelayService:
-    """Takes what leaders and relays say on the controllers' link to whom it concerns."""
+    """Handles relaying messages from the controllers' link."""
 
     def __init__(self, relay: Relay, current_term: Callable[[], RelayingTerm | None]) -> None:
         self._relay = relay
@@ -40,51 +49,47 @@
         term = self._current_term()
         return term.relay_pool if term is not None else None
 
-    # As a relay
-
-    def accept_grant(self, grant: m.RelayGrant) -> None:
-        """See `Relay.take_grant`; a node that leads is nobody's relay."""
+    def accept_grant(self, grant: RelayGrant) -> None:
+        """See `Relay.accept_grant`; a leader is nobody's relay."""
         if self._current_term() is None:
             self._relay.accept_grant(grant)
 
-    def request_full_heartbeats(self, wanted: m.ResendRequest) -> None:
-        """See `Relay.resend`."""
+    def request_full_heartbeats(self, wanted: ResendRequest) -> None:
+        """See `Relay.request_full_heartbeats`."""
         self._relay.request_full_heartbeats(wanted)
 
-    async def send_commands(self, request: m.ForwardedCommands) -> m.CommandsAnswer:
-        """See `Relay.commands`."""
+    async def send_commands(self, request: ForwardedCommands) -> CommandsAnswer:
+        """See `Relay.send_commands`."""
         return await self._relay.send_commands(request)
 
-    # As the leader
-
-    def apply_renewals(self, renewals: m.HeartbeatRenewals) -> None:
-        """See `RelayPool.renewed`."""
+    def apply_renewals(self, renewals: HeartbeatRenewals) -> None:
+        """See `RelayPool.apply_renewals`."""
         if (pool := self._pool()) is not None:
             pool.apply_renewals(renewals)
 
-    def adopt_workers(self, relayed: m.RelayedWorkers) -> None:
-        """See `RelayPool.held`."""
+    def adopt_workers(self, relayed: RelayedWorkers) -> None:
+        """See `RelayPool.adopt_workers`."""
         if (pool := self._pool()) is not None:
             pool.adopt_workers(relayed)
 
     def on_peer_lost(self, peer: NodeName) -> None:
-        """See `RelayPool.peer_lost`."""
+        """See `RelayPool.on_peer_lost`."""
         if (pool := self._pool()) is not None:
             pool.on_peer_lost(peer)
 
-    def handle_forwarded_heartbeat(self, request: m.ForwardedHeartbeat) -> m.HeartbeatAnswer:
-        """The answer to a worker's report that came whole through a relay; 421 where it was passed to another term
-        than the one that leads here."""
+    def handle_forwarded_heartbeat(self, request: ForwardedHeartbeat) -> HeartbeatAnswer:
+        """Handle a heartbeat that a relay forwarded: 400 if malformed, 421 if it was meant for another term than
+        the one that leads here."""
         term = self._current_term()
         try:
-            heartbeat = wm.decode_heartbeat(request.heartbeat)
+            heartbeat = decode_heartbeat(request.heartbeat)
         except msgspec.DecodeError as error:
-            return m.HeartbeatAnswer(request.number, HTTP_BAD_REQUEST, Raw(msgspec.json.encode({"error": str(error)})))
+            return HeartbeatAnswer(request.number, HTTP_BAD_REQUEST, Raw(msgspec.json.encode({"error": str(error)})))
         response = None
         if term is not None and term.token == request.token:
             response = term.handle_heartbeat(heartbeat, request.node)
-        if term is None or not isinstance(response, wm.HeartbeatResponse):
-            redirect = response or wm.Redirect()
-            return m.HeartbeatAnswer(request.number, HTTP_MISDIRECTED_REQUEST, Raw(wm.encode(redirect)))
+        if term is None or not isinstance(response, HeartbeatResponse):
+            redirect = response or Redirect()
+            return HeartbeatAnswer(request.number, HTTP_MISDIRECTED_REQUEST, Raw(encode(redirect)))
         is_repeatable = not response.commands and term.is_settled(heartbeat)
-        return m.HeartbeatAnswer(request.number, HTTP_OK, Raw(wm.encode(response)), is_repeatable)
+        return HeartbeatAnswer(request.number, HTTP_OK, Raw(encode(response)), is_repeatable)
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -15,7 +15,7 @@
 from meadowcross.leadership.pending_requests import PendingRequests
 from meadowcross.relay import messages as m
 from meadowcross.relay.assignment import RelayAssignment, RelayCapacity
-from meadowcross.relay.pool import GRANT_DURATION_S, RelayPool
+from meadowcross.relay.pool import GRANT_DURATION_S, RelayPool, RelayPoolSettings, WorkerClients
 from meadowcross.relay.relay import FORWARD_TIMEOUT_S, Relay
 from meadowcross.workers import messages as wm
 from meadowcross.workers.machine import Machine
@@ -235,13 +235,8 @@
             LEADER,
             TOKEN,
             self.link,
-            self.here,
-            self.brief,
-            mode,
-            own_room,
-            zones,
-            4.0,
-            8.0,
+            WorkerClients(self.here, self.brief),
+            RelayPoolSettings(mode, own_room, zones, report_s=4.0, silent_s=8.0),
             lambda: self.peers,
         )
         self.pool.set_registry(self.roster)
