--- a/meadowcross/common/http.py
+++ b/meadowcross/common/http.py
@@ -1,4 +1,4 @@
-"""HTTP on twisted.web: a small server front and a client that knows what was sent."""
+"""HTTP/1.1 on twisted.web: a client that tells unsent requests from unanswered ones, and a small routed server."""
 
 from __future__ import annotations
 
@@ -27,25 +27,27 @@
 MAX_DISCARDED_BODY = 1024 * 1024
 IDLE_TIMEOUT_S = 90
 SHORT_IDLE_TIMEOUT_S = 1
-"""For many peers that are seldom asked, where sockets are short: a connection serves a burst, and is closed."""
+"""Idle timeout (s) of connections to many seldom-contacted hosts, where sockets are scarce."""
 MAX_ENDPOINTS = 5_000
 
 
 class ConnectionFailedError(Exception):
-    """No connection came about, so the request was certainly not sent."""
+    """No connection was established, so the request was certainly not sent."""
 
 
 class NoResponseError(Exception):
-    """The request may have been carried out, or may still be."""
+    """No response arrived: the request may have been executed, or may still be."""
 
 
 class ClientResponse(NamedTuple):
+    """Status and body of a response received by the client."""
+
     status: int
     body: bytes
 
 
 class HttpClient:
-    """Kept-open connections, one request at a time on each, never retried here."""
+    """HTTP client with a connection pool; one request at a time on a connection, no automatic retries."""
 
     def __init__(self, reactor: Any, connections_per_host: int = 6, idle_timeout_s: int = IDLE_TIMEOUT_S) -> None:
         """A connection that is idle for `keep_open_s` seconds is closed."""
@@ -53,7 +55,7 @@
         self._pool = HTTPConnectionPool(reactor, persistent=True)
         self._pool.maxPersistentPerHost = connections_per_host
         self._pool.cachedConnectionTimeout = idle_timeout_s
-        # A repeated request could be carried out twice: whoever asks decides.
+        # A repeated request could be executed twice, so only the caller may retry.
         self._pool.retryAutomatically = False
         self._reactor = reactor
         self._agents: dict[float, Agent] = {}
@@ -61,7 +63,11 @@
     async def call(
         self, method: str, address: Address, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> ClientResponse:
-        # The connect limit ends before the whole, so that a dead host shows as NotSent.
+        """Send a request and return the response, within `timeout` seconds for the headers and again for the body.
+
+        Raises ConnectionFailedError or NoResponseError.
+        """
+        # Connecting times out before the request does, so that a dead host is reported as ConnectionFailedError.
         connect_timeout_s = min(1.0, timeout / 2)
         agent = self._agents.get(connect_timeout_s)
         if agent is None:
@@ -88,8 +94,8 @@
 
 
 class _BodyCollector(Receiver):
-    """Gathers an answer's body. Twisted's own `readBody` warns, at some cost, of each connection that it could
-    not abort; what is given up here is closed by the pool."""
+    """Collects a response body. Twisted's `readBody` emits a costly warning for each connection it can't abort; here
+    an abandoned connection is closed."""
 
     def __init__(self) -> None:
         self.body: Deferred[bytes] = Deferred(lambda _: self._abort())
@@ -113,8 +119,8 @@
 
 @implementer(IAgentEndpointFactory)
 class _EndpointCache:
-    """Endpoints kept by address. An agent makes one for every request, whether or not a new
-    connection is needed, and checks the host's name each time."""
+    """Caches endpoints by address: an agent otherwise builds one per request, even when it reuses a connection, and
+    checks the host name each time."""
 
     def __init__(self, reactor: Any, timeout: float) -> None:
         self._reactor = reactor
@@ -132,7 +138,7 @@
 
 
 class _ImmediateCooperator:
-    """A cooperator that runs small bodies at once, with no timer steps between."""
+    """A cooperator that writes small bodies in one step, without a delayed call between chunks."""
 
     def cooperate(self, iterator: Any) -> Any:
         for _ in iterator:
@@ -153,7 +159,7 @@
 
 
 class ServerResponse(NamedTuple):
-    """What a handler returns; `retry_after` in whole seconds where it applies."""
+    """What a handler returns; `retry_after` is in whole seconds."""
 
     status: int
     body: bytes
@@ -171,12 +177,14 @@
 
 
 def error_response(status: int, message: str, retry_after: int | None = None) -> ServerResponse:
-    """A refusal with its one-line JSON reason."""
+    """A response whose body is a one-line JSON object with the reason under `error`."""
     safe = message.replace("\\", "/").replace('"', "'").replace("\n", " ")
     return ServerResponse(status, b'{"error":"%s"}\n' % safe.encode("utf-8", "replace"), retry_after)
 
 
 class Router:
+    """Maps method and path to handlers."""
+
     def __init__(self) -> None:
         self._routes: list[Route] = []
 
@@ -198,7 +206,7 @@
 
 
 class ApiRequest(http.Request):
-    """One request: looked up in the router, answered by its handler."""
+    """One request: resolved by the router, answered by its handler. Bodies are limited to MAX_BODY bytes."""
 
     router: Router
     guard: RequestGuard | None = None
@@ -206,9 +214,8 @@
     discarded_bytes = 0
 
     def __init__(self, channel: Any, queued: Any = False) -> None:
-        # No form is ever posted here, and looking for one in the content type of each report
-        # took a seventh of a leader's time (2.5 of 17.7 s under a profiler). Said to the
-        # constructor: as an attribute of the class it was overwritten there, without effect.
+        # No form is ever posted here, and parsing the content type of each heartbeat took a seventh of a leader's
+        # processor time (2.5 of 17.7 s under a profiler). A class attribute would be overwritten by the constructor.
         super().__init__(channel, queued, parsePOSTFormSubmission=False)
 
     def gotLength(self, length: int | None) -> None:
@@ -229,8 +236,8 @@
         super().handleContentChunk(data)
 
     def _reject_body(self) -> None:
-        """Answer before the rest of an oversized body has come. What still comes is read
-        and dropped: closing on unread data would reset the connection and lose the answer."""
+        """Respond before the rest of an oversized body has arrived. The rest is read and discarded: closing with unread
+        data would reset the connection and lose the response."""
         self.is_body_too_large = True
         self.clientproto = b"HTTP/1.1"
         self.setHeader(b"connection", b"close")
@@ -280,14 +287,14 @@
 
 
 class RequestGuard(Protocol):
-    """Decides whether a request may be handled; its answer, if it may not."""
+    """Access check before a handler: returns the rejection, or None if the request may be handled."""
 
     def __call__(self, request: ApiRequest, path: str, body: bytes) -> ServerResponse | None: ...
 
 
 class BoundedHttpFactory(http.HTTPFactory):
-    """Serves so many connections at a time, and closes what is more as it comes. A node whose last sockets went to
-    workers could not reach the state service any more, and lost its hold."""
+    """Serves at most `max_connections` at a time and closes further ones as they are accepted. A node whose last
+    sockets went to workers could no longer reach the state service and lost its leader lease."""
 
     max_connections: int | None = None
     open_connections = 0
@@ -307,7 +314,7 @@
         pass
 
     RoutedRequest.router = router
-    # Not a method of the request: what it is called on is passed to it.
+    # staticmethod: the guard receives the request as its first argument and must not be bound to it.
     RoutedRequest.guard = staticmethod(guard) if guard is not None else None
 
     class Channel(http.HTTPChannel):
--- a/meadowcross/common/logging.py
+++ b/meadowcross/common/logging.py
@@ -1,4 +1,4 @@
-"""Logging to standard error: every line names the node and the slice."""
+"""Logging to standard error: each line carries level, node name, component and message."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def configure_logging(node_name: str) -> None:
-    """Send everything to standard error at the level that LOG_LEVEL names."""
+    """Configure the root logger; the level is taken from LOG_LEVEL (`error`, `info` or `debug`; `info` by default)."""
     level = LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter(f"%(levelname).1s {node_name} %(name)s: %(message)s"))
@@ -20,4 +20,5 @@
 
 
 def get_logger(component: str) -> logging.Logger:
+    """The logger of a component, named as in the log lines."""
     return logging.getLogger(component)
--- a/meadowcross/common/reactor_runner.py
+++ b/meadowcross/common/reactor_runner.py
@@ -1,4 +1,4 @@
-"""Work on the reactor for a command that ends: run it, stop, give what came of it."""
+"""Run one coroutine on the reactor to its end, for commands that finish by themselves."""
 
 from __future__ import annotations
 
@@ -12,7 +12,9 @@
 
 
 def run_until_complete(work: Coroutine[Any, Any, T]) -> T:
-    """The result of the coroutine; raises what it raised. Once in a process: a reactor does not start again."""
+    """Return the coroutine's result or raise its error. At most once in a process: a reactor can't be restarted.
+
+    Raises KeyboardInterrupt if the reactor is stopped first."""
     from twisted.internet import reactor
 
     loop: Any = reactor
--- a/meadowcross/common/settings.py
+++ b/meadowcross/common/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings (TOML) and the operators' own (XML), both checked."""
+"""The platform's settings file (TOML) and the operators' settings file (XML), both validated."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class Objective(Struct, frozen=True):
-    """One aim of the users; fields that a kind does not have stay null."""
+    """One service-level objective; fields that its kind does not have stay null."""
 
     kind: _Text
     job_class: str | None = msgspec.field(name="class", default=None)
@@ -106,18 +106,19 @@
 
 
 STORED_FORMAT_VERSION = 1
-"""Of what is kept in the state service; a node does not use a picture or hints of another."""
+"""Format of stored records; a node uses no replica or hints written in another format."""
 
 
 def settings_digest(settings: Settings, operator: OperatorSettings) -> str:
-    """Tells whether another node decides by the same facts, settings and stored formats."""
-    # Without the relays, which change nothing of that: nodes of the version before don't know them.
+    """Hash by which nodes compare the facts, settings and stored format that their decisions rest on."""
+    # Without `relays`, which changes no decision and which nodes of the version before don't know.
     compared_settings = {name: value for name, value in msgspec.structs.asdict(operator).items() if name != "relays"}
     encoded = msgspec.json.encode([STORED_FORMAT_VERSION, settings.facts, compared_settings])
     return hashlib.sha256(encoded).hexdigest()[:16]
 
 
 def load_settings(path: str) -> Settings:
+    """Read the platform's file. Raises SettingsError."""
     try:
         with open(path, "rb") as file:
             return msgspec.convert(tomllib.load(file), Settings, strict=False)
@@ -128,31 +129,31 @@
 
 
 class RelayMode(Enum):
-    """Whether other controllers hold workers' sessions for the leader."""
+    """Whether other controllers relay workers' heartbeats to the leader."""
 
     AUTO = "auto"
-    """As soon as there are more workers than the leader's own sockets serve well."""
+    """Relay when there are more workers than the leader's own sockets serve well."""
     ALWAYS = "always"
     NEVER = "never"
 
 
 DIRECT_WORKERS_PER_SOCKET = 0.43
-"""Of a leader's sockets, the workers that it serves by itself: each takes one for its reports and one for commands."""
+"""Workers per socket that a leader serves without relays: each takes one socket for heartbeats and one for commands."""
 RELAYED_WORKERS_PER_SOCKET = 0.75
-"""Of a relay's, which keeps no connection for commands; some are for those that come by, users and peers."""
+"""Workers per socket of a relay, which keeps no command connections; the rest is for users, peers and other workers."""
 INBOUND_SOCKET_SHARE = 0.85
-"""Of any node's, those for whoever connects to it; the others are for the state service, the cloud and commands."""
+"""Share of a node's sockets for inbound connections; the rest is for the state service, the cloud and commands."""
 UNLIMITED_SOCKETS = 1_000_000
 
 
 def socket_allowance(settings: Settings, share: float) -> int:
-    """How many workers a node's sockets allow."""
+    """`share` of the node's socket limit, as a count."""
     limits = settings.facts.machine_limits
     return int(share * limits.fd_limit) if limits is not None else UNLIMITED_SOCKETS
 
 
 class SettingBounds(NamedTuple):
-    """Unit and bounds of one operator setting, for messages and documentation."""
+    """Unit and bounds of one operator setting, for error messages and documentation."""
 
     unit: str
     low: float
@@ -162,7 +163,7 @@
 
 
 class OperatorSettings(Struct, frozen=True):
-    """Operators' own settings. Defaults are DESIGN's, or ours where it is silent."""
+    """The operators' settings. Defaults are those of the design, or the project's own where it gives none."""
 
     alpha: float = 0.5
     beta: float = 0.5
@@ -227,7 +228,7 @@
 
 def read_xml(path: str, root_name: str) -> Any:
     """The root element of an operators' file; entities and document types are refused. Raises SettingsError."""
-    # Only here: a node without an operators' file starts without the XML parser.
+    # Imported late for start-up time: a node without an operators' file needs no XML parser.
     from xml.etree.ElementTree import ParseError
 
     from defusedxml import DefusedXmlException
@@ -264,7 +265,7 @@
 
 
 def load_operator_settings(path: str) -> OperatorSettings:
-    """Read the XML file; refuse what is unknown, out of bounds or declares entities."""
+    """Read the operators' XML file. Raises SettingsError for unknown elements, values out of bounds and entities."""
     root = read_xml(path, "meadowcross")
     values: dict[str, float] = {}
     snapshot_directory = ""
