--- a/meadowcross/common/http.py
+++ b/meadowcross/common/http.py
@@ -50,7 +50,7 @@
     """HTTP client with a connection pool; one request at a time on a connection, no automatic retries."""
 
     def __init__(self, reactor: Any, connections_per_host: int = 6, idle_timeout_s: int = IDLE_TIMEOUT_S) -> None:
-        """A connection that is idle for `keep_open_s` seconds is closed."""
+        """Keep at most `connections_per_host` idle connections to a host, each for `idle_timeout_s` seconds."""
         self._clock: Any = reactor
         self._pool = HTTPConnectionPool(reactor, persistent=True)
         self._pool.maxPersistentPerHost = connections_per_host
@@ -308,7 +308,7 @@
 def build_api_factory(
     router: Router, reactor: Any, guard: RequestGuard | None = None, max_connections: int | None = None
 ) -> http.HTTPFactory:
-    """`most` connections at a time; None: as many as the process may hold."""
+    """A factory that serves the router's routes, at most `max_connections` at a time (None: unlimited)."""
 
     class RoutedRequest(ApiRequest):
         pass
--- a/meadowcross/common/types.py
+++ b/meadowcross/common/types.py
@@ -26,8 +26,11 @@
 
 
 REVISION_BITS = 40
-"""Low bits of a fencing token that hold the revision: about 10^12 changes in one store epoch. The bits above, up to
-2^64, hold the store epoch. In the first epoch, number 0, a token equals the revision, as it did before epochs existed."""
+"""Low bits of a fencing token that hold the revision: about 10^12 changes in one store epoch.
+
+The bits above, up to 2^64, hold the store epoch. In the first epoch, number 0, a token equals the revision, as it did
+before epochs existed.
+"""
 
 
 def compose_token(store_epoch: int, revision: Revision) -> FencingToken:
