--- a/meadowcross/relay/pool.py
+++ b/meadowcross/relay/pool.py
@@ -65,10 +65,15 @@
     """The part of the controllers' link that a leader with relays needs. `ask_relay` raises ConnectionFailedError and
     NoResponseError."""
 
-    def send_relay(self, message: RelayGrant | ResendRequest, peer: NodeName) -> bool: ...
+    def send_relay(self, message: RelayGrant | ResendRequest, peer: NodeName) -> bool:
+        """Send without waiting; False if the peer is not connected."""
+        ...
+
     async def ask_relay(
         self, peer: NodeName, make_request: Callable[[int], ForwardedCommands], timeout_s: Seconds
-    ) -> CommandsAnswer: ...
+    ) -> CommandsAnswer:
+        """Send the request that `make_request` builds from its number, and wait for the answer."""
+        ...
 
 
 def direct_sender(http: HttpClient) -> SendCommands:
@@ -273,8 +278,9 @@
             lambda number: ForwardedCommands(number, self._token, address, Raw(body)),
             COMMAND_TIMEOUT_S + LINK_MARGIN_S,
         )
+        route = f"{address} by {relay}"
         if answer.outcome is DeliveryOutcome.NOT_SENT:
-            raise ConnectionFailedError(f"{address} by {relay}")
+            raise ConnectionFailedError(route)
         if answer.outcome is DeliveryOutcome.UNANSWERED:
-            raise NoResponseError(f"{address} by {relay}")
+            raise NoResponseError(route)
         return ClientResponse(answer.status, bytes(answer.body))
--- a/meadowcross/relay/relay.py
+++ b/meadowcross/relay/relay.py
@@ -47,10 +47,15 @@
     """The part of the controllers' link that a relay needs. `ask_leader` raises ConnectionFailedError and
     NoResponseError."""
 
-    def send_relay(self, message: HeartbeatRenewals | RelayedWorkers, peer: NodeName) -> bool: ...
+    def send_relay(self, message: HeartbeatRenewals | RelayedWorkers, peer: NodeName) -> bool:
+        """Send without waiting; False if the peer is not connected."""
+        ...
+
     async def ask_leader(
         self, leader: NodeName, make_request: Callable[[int], ForwardedHeartbeat], timeout_s: Seconds
-    ) -> HeartbeatAnswer: ...
+    ) -> HeartbeatAnswer:
+        """Send the request that `make_request` builds from its number, and wait for the answer."""
+        ...
 
 
 @dataclass(slots=True)
--- a/meadowcross/relay/service.py
+++ b/meadowcross/relay/service.py
@@ -34,8 +34,13 @@
 
     def handle_heartbeat(
         self, heartbeat: Heartbeat, relay: NodeName | None = None
-    ) -> HeartbeatResponse | Redirect | None: ...
-    def is_settled(self, heartbeat: Heartbeat) -> bool: ...
+    ) -> HeartbeatResponse | Redirect | None:
+        """Handle a heartbeat, directly sent or forwarded by `relay`; None: the term does not lead any more."""
+        ...
+
+    def is_settled(self, heartbeat: Heartbeat) -> bool:
+        """Whether the same heartbeat again would get no commands and prove nothing."""
+        ...
 
 
 class RelayService:
--- a/meadowcross/workers/api.py
+++ b/meadowcross/workers/api.py
@@ -31,9 +31,17 @@
 class HeartbeatRelay(Protocol):
     """The part of a relay that the interface needs; see `meadowcross.relay.relay.Relay`."""
 
-    def active_grant(self) -> object | None: ...
-    def answer_unchanged(self, heartbeat: Heartbeat) -> ServerResponse | None: ...
-    async def forward_heartbeat(self, heartbeat: Heartbeat, body: bytes) -> ServerResponse | None: ...
+    def active_grant(self) -> object | None:
+        """The grant by which this node may answer workers, or None."""
+        ...
+
+    def answer_unchanged(self, heartbeat: Heartbeat) -> ServerResponse | None:
+        """The response, if the heartbeat repeats the last full one."""
+        ...
+
+    async def forward_heartbeat(self, heartbeat: Heartbeat, body: bytes) -> ServerResponse | None:
+        """The leader\'s response; None: redirect the worker."""
+        ...
 
 
 class WorkerApi:
@@ -44,7 +52,7 @@
         leader_handler: Callable[[], HandleHeartbeat | None],
         leader_name: Callable[[], NodeName | None],
         tracker: HeartbeatTracker,
-        on_token_seen: Callable[[FencingToken], None] = lambda token: None,
+        on_token_seen: Callable[[FencingToken], None] = lambda _token: None,
         relay: HeartbeatRelay | None = None,
     ) -> None:
         """`leader_handler` returns the handler while this node leads; `leader_name` the leader that this node knows;
--- a/meadowcross/workers/dispatcher.py
+++ b/meadowcross/workers/dispatcher.py
@@ -239,7 +239,8 @@
         try:
             status = decode_heartbeat(response.body)
         except msgspec.DecodeError as error:
-            log.error("%s answered what can't be read: %s", machine.id, error)
+            # Its text says all: a trace of our own decoder would add nothing.
+            log.error("%s answered what can't be read: %s", machine.id, error)  # noqa: TRY400
             return
         machine.contact.unresponsive_since = None
         # 200: executed; 409: certainly not executed. Either way no start is open any more.
--- a/meadowcross/workers/registry.py
+++ b/meadowcross/workers/registry.py
@@ -55,6 +55,9 @@
 class StaleTokenError(Exception):
     """A worker has seen a higher token: another node leads."""
 
+    def __init__(self, machine: MachineId, seen: FencingToken, own: FencingToken) -> None:
+        super().__init__(f"{machine} has seen token {seen}, ours is {own}")
+
 
 class WorkerRegistry:
     """All machines that are rented or may be, with their placements. Its methods may be called from any thread."""
@@ -148,7 +151,7 @@
         with self._lock:
             proof, version = machine.proof, heartbeat.version
             if heartbeat.token > self.token:
-                raise StaleTokenError(f"{machine.id} has seen token {heartbeat.token}, ours is {self.token}")
+                raise StaleTokenError(machine.id, heartbeat.token, self.token)
             if version <= proof.heartbeat_version:
                 return None
             proof.advance(version)
