--- /dev/null
+++ b/meadowcross/controller/__init__.py
@@ -0,0 +1,1 @@
+"""One controller process: its parts built, connected, started and stopped."""
--- /dev/null
+++ b/meadowcross/controller/assembly.py
@@ -0,0 +1,279 @@
+"""Builds the parts of a controller and connects them.
+
+Parts that need each other get their listeners once both stand; nobody is asked anything before they are started.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, replace
+
+from msgspec import Raw
+
+from meadowcross.common.http import Router
+from meadowcross.common.settings import RELAYED_WORKERS_PER_SOCKET, Settings, socket_allowance
+from meadowcross.controller.leadership import CurrentTerm, LeaderDirectory, ProgressQuery, TermBuilder, TermManager
+from meadowcross.controller.peers import ClusterView, HeartbeatReactions, HintExchange, PeerRequests
+from meadowcross.controller.recovery import (
+    AuditTurn,
+    DataLossHandler,
+    EpochTokens,
+    ReplicaParts,
+    RequestPeers,
+    SnapshotReader,
+)
+from meadowcross.controller.services import Services
+from meadowcross.jobs.admission import JobAdmission
+from meadowcross.jobs.api import JobApi
+from meadowcross.jobs.collaborators import JobEvents, LocalReplica
+from meadowcross.leadership.cancellation_broadcast import CancellationBroadcast
+from meadowcross.leadership.election import Election
+from meadowcross.leadership.failure_detector import LeaderFailureDetector
+from meadowcross.leadership.messages import LeaderRecord
+from meadowcross.leadership.peer_link import PeerLink
+from meadowcross.leadership.peer_listeners import PeerListeners
+from meadowcross.recovery.audit import StoreAuditor
+from meadowcross.recovery.collect import StateRecovery
+from meadowcross.recovery.store_epochs import StoreEpochs
+from meadowcross.relay.relay import Relay
+from meadowcross.relay.service import RelayService
+from meadowcross.replication.follower import ReplicaFollower
+from meadowcross.replication.hints import HintSubscriber
+from meadowcross.replication.messages import FullHintsRequest
+from meadowcross.workers.api import WorkerApi
+from meadowcross.workers.heartbeat_tracker import HeartbeatTracker, silence_window
+
+DEFAULT_MEMORY_MB = 256.0
+"""Where the platform names no limit."""
+REPLICA_MEMORY_SHARE = 1 / 4
+STANDBY_FOLLOWS, STANDBY_DETECTS_FAILURES = 1, 2
+"""Values of the setting `warm_standby`."""
+
+
+class EndedJobFeed:
+    """Tells of jobs whose end is in the replica: the follower is built before whoever listens."""
+
+    def __init__(self) -> None:
+        self._listener: Callable[[str, Raw], None]
+
+    def subscribe(self, listener: Callable[[str, Raw], None]) -> None:
+        """Once, before the follower runs. The listener takes the stored key and its value."""
+        self._listener = listener
+
+    def publish(self, key: str, value: Raw) -> None:
+        """The follower has seen this record, or written it."""
+        self._listener(key, value)
+
+
+@dataclass(frozen=True)
+class StoreView:
+    """The store as this node sees it."""
+
+    follower: ReplicaFollower | None
+    """None where the operators want no replica of the store."""
+    store_epochs: StoreEpochs
+    loss_handler: DataLossHandler
+    snapshots: SnapshotReader
+    ended_jobs: EndedJobFeed
+
+
+@dataclass(frozen=True)
+class Cluster:
+    """The peers, and who leads."""
+
+    link: PeerLink
+    election: Election
+    leaders: LeaderDirectory
+    workers: HeartbeatTracker
+    view: ClusterView
+    failure_detector: LeaderFailureDetector | None
+    """None where the operators let a dead leader's lease run out."""
+
+
+@dataclass(frozen=True)
+class Leadership:
+    """This node's own terms, and its part in another leader's."""
+
+    terms: CurrentTerm
+    term_manager: TermManager
+    cancellations: CancellationBroadcast
+    hints: HintSubscriber
+    relay: Relay
+
+
+@dataclass(frozen=True)
+class Parts:
+    """All parts of a controller, connected."""
+
+    store_view: StoreView
+    cluster: Cluster
+    leadership: Leadership
+    auditor: StoreAuditor | None
+    router: Router
+
+
+def assemble(services: Services) -> Parts:
+    """Build and connect all parts."""
+    store_view = build_store_view(services)
+    cluster = build_cluster(services, store_view)
+    store_view.loss_handler.connect(store_view.store_epochs, cluster.election, cluster.link)
+    leadership = build_leadership(services, store_view, cluster)
+    cluster.election.set_listener(leadership.term_manager)
+    job_api = build_job_api(services, store_view, cluster, leadership)
+    store_view.ended_jobs.subscribe(job_api.on_ended_stored)
+    cluster.link.set_listeners(build_peer_listeners(services, store_view, cluster, leadership, job_api))
+    router = Router()
+    job_api.add_routes(router)
+    build_worker_api(store_view, cluster, leadership).add_routes(router)
+    return Parts(
+        store_view, cluster, leadership, build_auditor(services, store_view, cluster, leadership.terms), router
+    )
+
+
+def build_store_view(services: Services) -> StoreView:
+    """The loss handler is not connected yet, and nobody listens for ended jobs."""
+    ended_jobs = EndedJobFeed()
+    follower = None
+    if services.operator.warm_standby >= STANDBY_FOLLOWS:
+        follower = ReplicaFollower(
+            services.reactor, services.store, replica_size_limit(services.settings), ended_jobs.publish
+        )
+    loss_handler = DataLossHandler(follower)
+    snapshots = SnapshotReader(services.operator)
+    store_epochs = StoreEpochs(
+        services.reactor,
+        services.store,
+        loss_handler.on_data_loss,
+        loss_handler.on_recovered,
+        services.cloud.oldest_machine_age_s,
+        snapshots.minimum_position,
+    )
+    return StoreView(follower, store_epochs, loss_handler, snapshots, ended_jobs)
+
+
+def replica_size_limit(settings: Settings) -> int:
+    """In bytes: a quarter of what the process may hold, or as much as seems small anywhere."""
+    limits = settings.facts.machine_limits
+    memory_mb = limits.mem_mb if limits is not None else DEFAULT_MEMORY_MB
+    return int(memory_mb * REPLICA_MEMORY_SHARE * 2**20)
+
+
+def build_cluster(services: Services, store_view: StoreView) -> Cluster:
+    """The election and the link have no listeners yet."""
+    reactor, settings = services.reactor, services.settings
+    link = PeerLink(reactor, settings.peers)
+    election = Election(
+        reactor,
+        services.store,
+        LeaderRecord(services.node, services.incarnation),
+        services.operator.hold_s,
+        EpochTokens(services.store, store_view.store_epochs, link.status),
+    )
+    workers = HeartbeatTracker(reactor, silence_window(settings.facts.workers.report_s))
+    view = ClusterView(
+        services=services,
+        election=election,
+        peers=link.status,
+        workers=workers,
+        store_epochs=store_view.store_epochs,
+        follower=store_view.follower,
+        relay_capacity=socket_allowance(settings, RELAYED_WORKERS_PER_SOCKET) if services.may_relay else None,
+    )
+    failure_detector = None
+    if store_view.follower is not None and services.operator.warm_standby >= STANDBY_DETECTS_FAILURES:
+        failure_detector = LeaderFailureDetector(
+            reactor, services.store, election, store_view.follower, view, services.operator.hold_s
+        )
+    leaders = LeaderDirectory(services.node, election, link.status)
+    return Cluster(link, election, leaders, workers, view, failure_detector)
+
+
+def build_leadership(services: Services, store_view: StoreView, cluster: Cluster) -> Leadership:
+    """What begins a term needs all the rest."""
+    reactor, link, follower = services.reactor, cluster.link, store_view.follower
+    terms = CurrentTerm()
+    cancellations = CancellationBroadcast(
+        reactor, terms.active, cluster.leaders.known_leader, link.announce_cancellations
+    )
+    hints = HintSubscriber(
+        reactor, services.digest, lambda leader: link.request_full_hints(FullHintsRequest(services.node), leader)
+    )
+    relay = Relay(reactor, services.node, lambda: link, services.short_lived_http)
+    recovery = StateRecovery(
+        reactor,
+        services.store,
+        store_view.store_epochs,
+        follower,
+        services.node,
+        lambda: [heartbeat.node for heartbeat in link.status.fresh_heartbeats()],
+        link.request_replica_part,
+        store_view.snapshots.read,
+        services.operator.lost_wait_s or None,
+        services.peer_names,
+    )
+    builder = TermBuilder(services, cluster.election, link, follower, hints, recovery, cancellations)
+    term_manager = TermManager(services, terms, builder, link, relay, cluster.failure_detector)
+    return Leadership(terms, term_manager, cancellations, hints, relay)
+
+
+def build_job_api(services: Services, store_view: StoreView, cluster: Cluster, leadership: Leadership) -> JobApi:
+    """What users ask of this node."""
+    facts, link, follower, terms = services.settings.facts, cluster.link, store_view.follower, leadership.terms
+    peers = RequestPeers(store_view.store_epochs, follower, cluster.election, link, terms, cluster.leaders)
+    events = JobEvents(
+        on_missing=store_view.loss_handler.on_job_missing, on_cancelled=leadership.cancellations.announce
+    )
+    if follower is not None:
+        events = replace(events, on_accepted=follower.apply_submission)
+    return JobApi(
+        services.reactor,
+        services.store,
+        JobAdmission(facts.teams, facts.zones, services.machine_types.machine_types),
+        peers.as_peer_queries(ProgressQuery(terms, cluster.leaders, link)),
+        store_view.store_epochs,
+        LocalReplica(follower.get, lambda: follower.state.value) if follower is not None else LocalReplica(),
+        events,
+    )
+
+
+def build_worker_api(store_view: StoreView, cluster: Cluster, leadership: Leadership) -> WorkerApi:
+    """What workers ask of this node."""
+    return WorkerApi(
+        leadership.terms.heartbeat_handler,
+        cluster.leaders.redirect_target,
+        cluster.workers,
+        store_view.store_epochs.observe_token,
+        leadership.relay,
+    )
+
+
+def build_peer_listeners(
+    services: Services, store_view: StoreView, cluster: Cluster, leadership: Leadership, job_api: JobApi
+) -> PeerListeners:
+    """What peers ask of this node, and tell it."""
+    election, epochs, follower, relay = (
+        cluster.election,
+        store_view.store_epochs,
+        store_view.follower,
+        leadership.relay,
+    )
+    replica_parts = ReplicaParts(services.node, epochs, follower)
+    return PeerListeners(
+        heartbeats=HeartbeatReactions(services, cluster.view, election, epochs, relay, cluster.failure_detector),
+        requests=PeerRequests(services, election, follower, leadership.terms, replica_parts, job_api),
+        hints=HintExchange(leadership.hints, follower, leadership.term_manager),
+        cancellations=leadership.cancellations,
+        relays=RelayService(relay, leadership.terms.active),
+    )
+
+
+def build_auditor(
+    services: Services, store_view: StoreView, cluster: Cluster, terms: CurrentTerm
+) -> StoreAuditor | None:
+    """None where there is no replica to compare the store with."""
+    if store_view.follower is None:
+        return None
+    turn = AuditTurn(services.node, cluster.link.status, terms)
+    return StoreAuditor(
+        services.reactor, services.store, store_view.store_epochs, store_view.follower, turn.is_own_turn
+    )
--- /dev/null
+++ b/meadowcross/controller/peers.py
@@ -0,0 +1,186 @@
+"""What a peer's message sets off on this node, and what this node says of itself."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from meadowcross.common.http import ServerResponse
+from meadowcross.common.types import FencingToken, Instant, JobId, NodeName, Revision
+from meadowcross.controller.leadership import CurrentTerm, TermManager
+from meadowcross.controller.recovery import ReplicaParts
+from meadowcross.controller.services import Services
+from meadowcross.jobs.api import JobApi
+from meadowcross.jobs.messages import JobProgress
+from meadowcross.leadership.election import Election
+from meadowcross.leadership.failure_detector import LeaderFailureDetector
+from meadowcross.leadership.messages import PeerHeartbeat
+from meadowcross.leadership.peer_status import PeerStatus
+from meadowcross.recovery.messages import ReplicaPart, ReplicaPartRequest
+from meadowcross.recovery.store_epochs import StoreEpochs
+from meadowcross.relay.relay import Relay
+from meadowcross.replication.follower import ReplicaFollower
+from meadowcross.replication.hints import HintSubscriber
+from meadowcross.replication.messages import Hints, LeadershipOfferResponse
+from meadowcross.replication.store_replica import KeyCounts
+from meadowcross.store.rate_shares import follower_share_with_borrowed
+from meadowcross.workers.heartbeat_tracker import HeartbeatTracker
+
+NO_TOKEN = FencingToken(0)
+
+
+@dataclass
+class ClusterView:
+    """What this node hears of its peers and of workers, and says of itself."""
+
+    services: Services
+    election: Election
+    peers: PeerStatus
+    workers: HeartbeatTracker
+    store_epochs: StoreEpochs
+    follower: ReplicaFollower | None
+    relay_capacity: int | None
+    """How many workers it can serve for a leader; None: it can't."""
+
+    def own_heartbeat(self) -> PeerHeartbeat:
+        """What peers are told of this node now."""
+        epochs, follower, store = self.store_epochs, self.follower, self.services.store
+        return PeerHeartbeat(
+            node=self.services.node,
+            is_store_answering=store.is_answering(),
+            leading_token=self.election.token,
+            workers_heard=self.workers.count(),
+            incarnation=self.services.incarnation,
+            is_in_sync=follower is not None and follower.is_in_sync,
+            lost_peers=self.peers.lost_peers(),
+            store_epoch=epochs.record.number if epochs.record is not None else None,
+            is_epoch_lost=epochs.is_lost(),
+            is_loss_older=epochs.is_loss_older,
+            has_history=self.election.has_history,
+            highest_token=epochs.highest_token,
+            followed_revision=follower.followed_revision() if follower is not None else Revision(0),
+            store_utilization=store.used_share(),
+            relay_room=self.relay_capacity,
+        )
+
+    def peer_heartbeats(self) -> list[PeerHeartbeat]:
+        """Of all peers that were heard lately and are not lost since."""
+        return self.peers.fresh_heartbeats()
+
+    def is_lost(self, peer: NodeName) -> bool:
+        """Whether the peer's process seems to have ended."""
+        return self.peers.is_lost(peer)
+
+    def workers_arrived_since(self, instant: Instant) -> int:
+        """How many workers came here since then that no relaying explains."""
+        return self.workers.count_since(instant)
+
+
+class HeartbeatReactions:
+    """What a peer's heartbeat, or its loss, sets off; see `peer_listeners.HeartbeatListener`."""
+
+    def __init__(
+        self,
+        services: Services,
+        view: ClusterView,
+        election: Election,
+        store_epochs: StoreEpochs,
+        relay: Relay,
+        detector: LeaderFailureDetector | None,
+    ) -> None:
+        self._services = services
+        self._view = view
+        self._election = election
+        self._store_epochs = store_epochs
+        self._relay = relay
+        self._detector = detector
+
+    def own_heartbeat(self) -> PeerHeartbeat:
+        """See `HeartbeatListener`."""
+        return self._view.own_heartbeat()
+
+    def on_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
+        """See `HeartbeatListener`."""
+        if self._detector is not None:
+            self._detector.on_heartbeat(heartbeat)
+        leading_token = heartbeat.leading_token or NO_TOKEN
+        self._store_epochs.observe_token(max(heartbeat.highest_token, leading_token))
+        self._relay.on_token_seen(leading_token)
+        if heartbeat.is_epoch_lost and heartbeat.store_epoch is not None:
+            self._store_epochs.on_loss_reported(heartbeat.store_epoch, heartbeat.node, heartbeat.is_loss_older)
+        if heartbeat.leading_token is not None:
+            self._on_leader_heartbeat(heartbeat, heartbeat.leading_token)
+
+    def _on_leader_heartbeat(self, heartbeat: PeerHeartbeat, token: FencingToken) -> None:
+        own_token = self._election.token
+        if own_token is None:
+            if heartbeat.incarnation:
+                share = follower_share_with_borrowed(self._services.node_count, heartbeat.store_utilization)
+                self._services.store.adjust_share(share)
+        elif token > own_token:
+            self._election.step_down(f"{heartbeat.node} leads with token {token}")
+
+    def on_peer_lost(self, peer: NodeName) -> None:
+        """See `HeartbeatListener`."""
+        if self._detector is not None:
+            self._detector.on_peer_lost(peer)
+
+
+class PeerRequests:
+    """Answers peers' requests; see `peer_listeners.PeerRequestHandler`."""
+
+    def __init__(
+        self,
+        services: Services,
+        election: Election,
+        follower: ReplicaFollower | None,
+        terms: CurrentTerm,
+        replica_parts: ReplicaParts,
+        job_api: JobApi,
+    ) -> None:
+        self._services = services
+        self._election = election
+        self._follower = follower
+        self._terms = terms
+        self._replica_parts = replica_parts
+        self._job_api = job_api
+
+    def progress_of(self, job: JobId) -> JobProgress | None:
+        """See `PeerRequestHandler`."""
+        return self._terms.progress_of(job)
+
+    def replica_part(self, request: ReplicaPartRequest) -> ReplicaPart:
+        """See `PeerRequestHandler`."""
+        return self._replica_parts.replica_part(request)
+
+    async def serve_forwarded(self, operation: str, job: str, body: bytes) -> ServerResponse:
+        """See `PeerRequestHandler`."""
+        return await self._job_api.serve(operation, job, body)
+
+    async def accept_leadership(self, number: int) -> LeadershipOfferResponse:
+        """See `PeerRequestHandler`. Only a node that could lead at once accepts."""
+        if self._follower is None or not self._follower.is_in_sync:
+            return LeadershipOfferResponse(number)
+        successor = await self._election.accept_leadership()
+        if successor is None:
+            return LeadershipOfferResponse(number)
+        return LeadershipOfferResponse(number, successor.lease, self._services.incarnation)
+
+
+class HintExchange:
+    """Hands on the leader's hints; see `peer_listeners.HintListener`."""
+
+    def __init__(self, subscriber: HintSubscriber, follower: ReplicaFollower | None, terms: TermManager) -> None:
+        self._subscriber = subscriber
+        self._follower = follower
+        self._terms = terms
+
+    def on_hints(self, hints: Hints) -> None:
+        """See `HintListener`. A replica that differs from the leader's is read anew."""
+        self._subscriber.apply(hints)
+        counts, follower = hints.key_counts, self._follower
+        if follower is not None and counts and not follower.matches_counts(counts[0], KeyCounts(*counts[1:])):
+            follower.resync(f"it differs from the leader's at revision {counts[0]}")
+
+    def on_full_hints_request(self) -> None:
+        """See `HintListener`."""
+        self._terms.on_full_hints_request()
--- a/meadowcross/leadership/cancellation_broadcast.py
+++ b/meadowcross/leadership/cancellation_broadcast.py
@@ -1,10 +1,11 @@
-"""Cancels that are stored, told to who leads, so that it stops the tasks at once.
+"""Stored cancellations, announced to the leader, so that it stops the tasks at once.
 
-A leader learns of cancels by its watch. Refused by the state service alone its watch stands still, and in an outage of
+A leader learns of cancellations by its watch. Refused by the store alone its watch stands still, and in an outage of
 all nodes it goes on answering its workers: what it never heard of ran on for as long as that lasted. So whoever stored
-a cancel tells the leader, and repeats it until one has answered that took it in, or has read it.
+a cancellation announces it to the leader, and repeats that until a leader has acknowledged it, or has read it.
 
-Nothing that users hear rests on this word: they hear `cancelled` once the end of the job is stored (`jobs/api.py`).
+Nothing that users hear rests on the announcement: they hear `cancelled` once the end of the job is stored
+(`jobs/api.py`).
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from collections import OrderedDict
 from collections.abc import Awaitable, Callable
 from threading import Lock
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from twisted.internet.defer import Deferred
 
@@ -24,20 +25,34 @@
 log = get_logger("leadership")
 
 BATCH_DELAY_S: Seconds = 0.02
-"""Cancels are gathered for so long: hundreds a second cost a few messages, not hundreds."""
+"""Cancellations are collected for so long: hundreds a second cost a few messages, not hundreds."""
 RETRY_INTERVAL_S: Seconds = 1.0
 MAX_REMEMBERED_JOBS = 5_000
 
 SendNotice = Callable[[NodeName, CancellationNotice], Awaitable[bool]]
+"""Sends a notice to the leader, and to all other peers; whether the leader acknowledged it in time."""
 
 
 class CancellationHandler(Protocol):
-    """Of a term, what cancels ask of it."""
+    """A leader's term, as far as cancellations go."""
 
-    def apply_announced_cancellations(self, notice: CancellationNotice) -> bool: ...
+    def apply_announced_cancellations(self, notice: CancellationNotice) -> bool:
+        """Stop the tasks of these jobs; False where the term can't take them in now."""
+
+
+class StoredCancellation(NamedTuple):
+    """The revision at which a job's cancellation was stored, and whether on no record but the end's."""
+
+    revision: Revision
+    is_unrecorded: bool
 
 
 class CancellationBroadcast:
+    """Announces what was stored here, and remembers what peers announced.
+
+    Of a job whose cancellation was announced to it a node knows that for good: cancellations are irrevocable.
+    """
+
     def __init__(
         self,
         clock: Clock,
@@ -45,7 +60,7 @@
         known_leader: Callable[[], tuple[NodeName, FencingToken] | None],
         send_notice: SendNotice,
     ) -> None:
-        """`leader` is who leads as far as this node knows. `ask` tells it of cancels: whether it took them in."""
+        """`current_term` is this node's own, while it leads; `known_leader` who leads as far as it knows."""
         self._clock = clock
         self._current_term = current_term
         self._known_leader = known_leader
@@ -53,13 +68,12 @@
         self._lock = Lock()
         self._is_scheduled = False
         self._announced: OrderedDict[JobId, None] = OrderedDict()
-        self._unacknowledged: dict[JobId, tuple[Revision, bool]] = {}
-        """Stored at this version, and whether on no record but the end's; no leader has taken it in yet."""
+        self._unacknowledged: dict[JobId, StoredCancellation] = {}
 
-    # What others tell
+    # What others announce
 
     def on_notice(self, notice: CancellationNotice) -> bool:
-        """A peer's word, or our own. Returns whether we lead and have taken it in."""
+        """A peer's announcement, or our own. Returns whether we lead and have taken it in."""
         with self._lock:
             for job in notice.revisions:
                 self._announced.pop(job, None)
@@ -70,15 +84,25 @@
         return term is not None and term.apply_announced_cancellations(notice)
 
     def is_announced(self, job: JobId) -> bool:
-        """Whether a peer, or this node, has said that the job's cancel is stored; they are irrevocable."""
+        """Whether a peer, or this node, has said that the job's cancellation is stored."""
         return job in self._announced
 
-    # What we tell
+    @property
+    def announced_count(self) -> int:
+        """Of how many jobs this node remembers that their cancellation was announced."""
+        return len(self._announced)
+
+    # What this node announces
 
-    def announce(self, job: JobId, mark: Revision, unrecorded: bool) -> None:
-        """A cancel was stored, or read, at this version; `unrecorded`: on no record but the end's."""
+    @property
+    def unacknowledged_count(self) -> int:
+        """How many cancellations no leader has taken in yet."""
+        return len(self._unacknowledged)
+
+    def announce(self, job: JobId, revision: Revision, unrecorded: bool) -> None:
+        """A cancellation was stored, or read, at this revision; `unrecorded`: on no record but the end's."""
         with self._lock:
-            self._unacknowledged[job] = (mark, unrecorded)
+            self._unacknowledged[job] = StoredCancellation(revision, unrecorded)
             # A leader that never answers, as one of an early version, hears by its watch: the oldest are let go.
             for oldest in list(self._unacknowledged)[: max(0, len(self._unacknowledged) - MAX_CANCELLATIONS)]:
                 del self._unacknowledged[oldest]
@@ -92,35 +116,45 @@
     async def _send_pending(self) -> None:
         leader = self._known_leader()
         if leader is not None:
-            with self._lock:
-                # Whoever was elected after a cancel was stored has read it before anything else, but for one on no
-                # record. In a new era versions begin anew, and one that has read it hears of it once more.
-                elected = revision_of(leader[1])
-                self._unacknowledged = {
-                    job: one for job, one in self._unacknowledged.items() if one[1] or one[0] >= elected
-                }
-                pending = dict(self._unacknowledged)
+            node, token = leader
+            pending = self._take_pending(token)
             if pending:
-                await self._send_to(*leader, pending)
+                await self._send_to(node, token, pending)
         self._is_scheduled = False
         self._schedule(RETRY_INTERVAL_S)
 
-    async def _send_to(self, node: NodeName, token: FencingToken, pending: dict[JobId, tuple[Revision, bool]]) -> None:
-        unrecorded = [job for job, (_, lost) in pending.items() if lost]
-        notice = CancellationNotice(0, token, {job: mark for job, (mark, _) in pending.items()}, unrecorded)
+    def _take_pending(self, token: FencingToken) -> dict[JobId, StoredCancellation]:
+        """What the leader with this token may not have read; the rest is let go.
+
+        Whoever was elected after a cancellation was stored has read it before anything else, but for one on no record.
+        In a new epoch revisions begin anew, and a leader that has read it hears of it once more.
+        """
+        elected_at = revision_of(token)
+        with self._lock:
+            self._unacknowledged = {
+                job: cancellation
+                for job, cancellation in self._unacknowledged.items()
+                if cancellation.is_unrecorded or cancellation.revision >= elected_at
+            }
+            return dict(self._unacknowledged)
+
+    async def _send_to(self, node: NodeName, token: FencingToken, pending: dict[JobId, StoredCancellation]) -> None:
+        revisions = {job: cancellation.revision for job, cancellation in pending.items()}
+        unrecorded = [job for job, cancellation in pending.items() if cancellation.is_unrecorded]
+        notice = CancellationNotice(0, token, revisions, unrecorded)
         try:
             is_acknowledged = self.on_notice(notice) or await self._send_notice(node, notice)
         except Exception:
-            log.exception("telling of cancels failed")
+            # What is pending is sent again.
+            log.exception("announcing cancellations failed")
             return
-        log.info(
-            "%d stored cancels told to leader %s: %s",
-            len(pending),
-            node,
-            "taken in" if is_acknowledged else "no answer",
-        )
+        outcome = "acknowledged" if is_acknowledged else "no answer"
+        log.info("%d stored cancellations announced to leader %s: %s", len(pending), node, outcome)
         if is_acknowledged:
-            with self._lock:
-                for job, cancellation in pending.items():
-                    if self._unacknowledged.get(job) == cancellation:
-                        del self._unacknowledged[job]
+            self._forget_acknowledged(pending)
+
+    def _forget_acknowledged(self, acknowledged: dict[JobId, StoredCancellation]) -> None:
+        with self._lock:
+            for job, cancellation in acknowledged.items():
+                if self._unacknowledged.get(job) == cancellation:
+                    del self._unacknowledged[job]
--- a/meadowcross/leadership/messages.py
+++ b/meadowcross/leadership/messages.py
@@ -9,12 +9,12 @@
 
 from meadowcross.common.types import FencingToken, JobId, NodeName, Revision, Seconds
 from meadowcross.recovery.messages import LEADER_KEY, ReplicaPart, ReplicaPartRequest
-from meadowcross.relay import messages as relay
+from meadowcross.relay.messages import RelayMessage
 from meadowcross.replication.messages import FullHintsRequest, Hints, LeadershipOffer, LeadershipOfferResponse
 
 
 class LeaderRecord(Struct):
-    """Who leads. `life` tells this process from its predecessors of the same name."""
+    """Who leads. The incarnation tells this process from its predecessors of the same name."""
 
     node: NodeName
     incarnation: str = field(name="life")
@@ -26,6 +26,7 @@
     node: NodeName
     is_store_answering: bool = field(name="store_ok")
     leading_token: FencingToken | None = field(name="leads", default=None)
+    """The node's own token while it leads."""
     workers_heard: int = field(name="hears", default=0)
     """How many workers reported to it lately, whoever leads."""
     incarnation: str = field(name="life", default="")
@@ -33,10 +34,11 @@
     is_in_sync: bool = field(name="warm", default=False)
     """Whether it follows the store and could lead at once."""
     lost_peers: list[NodeName] = field(name="lost", default_factory=list)
-    """Peers whose link to it was closed, and that refuse to be called."""
+    """Peers whose connection to it was closed, and that refuse to be called."""
     store_epoch: int | None = field(name="era", default=None)
-    """The era it is in, and whether it has proof that the state service lost data in it."""
+    """The epoch it is in."""
     is_epoch_lost: bool = field(name="era_lost", default=False)
+    """Whether it has proof that the store lost data in this epoch."""
     is_loss_older: bool = field(name="era_lost_before", default=False)
     """The loss is older than what it followed."""
     has_history: bool = field(name="seasoned", default=False)
@@ -44,9 +46,9 @@
     highest_token: FencingToken = field(name="highest", default=FencingToken(0))
     """The highest token it has seen anywhere."""
     followed_revision: Revision = field(name="followed", default=Revision(0))
-    """Up to which revision it followed the store, a leader's own picture counted as one more."""
+    """Up to which revision it followed the store, a leader's own replica counted as one more."""
     store_utilization: float = field(name="store_used", default=0.0)
-    """The part of the state service's limits that it used lately; what a leader leaves is lent to the others."""
+    """The part of the store's limits that it used lately; what a leader leaves is lent to the others."""
     relay_room: int | None = None
     """How many workers it can serve for a leader; None: it can't, as any node of an earlier version."""
 
@@ -64,15 +66,16 @@
     number: int
     counts: dict[JobId, tuple[int, int]]
     forecasts: dict[JobId, tuple[Seconds, Seconds, Seconds]] = field(name="ends", default_factory=dict)
-    """Until when they will be done; a peer of an earlier version says nothing of it."""
+    """When they will be done, as `JobProgress` says it; a peer of an earlier version says nothing of it."""
 
 
 class ForwardRequest(Struct, tag="forward", tag_field="kind"):
-    """A user's request that its node can't answer, as the state service refuses it alone."""
+    """A user's request that its node can't answer, as the store refuses it alone."""
 
     number: int
     operation: str
     job: str
+    """Empty where the job's id is in the body."""
     body: str
 
 
@@ -90,20 +93,22 @@
 
 
 class CancellationNotice(Struct, tag="cancels?", tag_field="kind"):
-    """Cancels that are stored, with their records' versions: who leads stops the tasks and starts nothing more of those
-    jobs, with or without the state service."""
+    """Cancellations that are stored, with their records' revisions.
+
+    Who leads stops the tasks and starts nothing more of those jobs, with or without the store.
+    """
 
     number: int
-    """Of the question; 0: no answer is waited for."""
+    """Of the request; 0: no response is waited for."""
     token: FencingToken
-    """Of the leader as the teller knows it. A node of the version before takes no word meant for another."""
+    """Of the leader as the sender knows it. A node of the version before takes no notice meant for another."""
     revisions: Annotated[dict[JobId, Revision], Meta(max_length=MAX_CANCELLATIONS)] = field(name="jobs")
     unrecorded: list[JobId] = []
     """Those that are stored by an end only, not proven yet, as their records were lost."""
 
 
 class CancellationAck(Struct, tag="cancels", tag_field="kind"):
-    """The leader has taken them in."""
+    """The leader has taken the cancellations in."""
 
     number: int
     free: list[JobId] = []
@@ -124,7 +129,7 @@
     | LeadershipOfferResponse
     | ReplicaPartRequest
     | ReplicaPart
-    | relay.RelayMessage
+    | RelayMessage
 )
 
 __all__ = [
--- a/meadowcross/leadership/pending_requests.py
+++ b/meadowcross/leadership/pending_requests.py
@@ -1,4 +1,4 @@
-"""Questions to peers that wait for their answers, under numbers of their own."""
+"""Requests to peers that wait for their responses, under numbers of their own."""
 
 from __future__ import annotations
 
@@ -17,20 +17,22 @@
 
 
 class NumberedResponse(Protocol):
-    """An answer, with the number of its question."""
+    """A response, with the number of its request."""
 
     @property
-    def number(self) -> int: ...
+    def number(self) -> int:
+        """As the request gave it."""
 
 
 class PeerConnection(Protocol[Request]):
-    """A connection that questions go out on."""
+    """A connection that requests go out on."""
 
-    def send(self, message: Request) -> None: ...
+    def send(self, message: Request) -> None:
+        """Write the message."""
 
 
 class PendingRequests(Generic[Request, Response]):
-    """Those of one kind, so many at the most on a line: what is more is refused, not buffered."""
+    """Those of one kind, at most so many on a connection: what is more is refused, not buffered."""
 
     def __init__(self, clock: Clock, max_per_connection: int) -> None:
         self._clock = clock
@@ -39,14 +41,21 @@
         self._pending: dict[Any, dict[int, Deferred[Response]]] = {}
 
     async def request(
-        self, connection: PeerConnection[Request] | None, make_request: Callable[[int], Request], timeout_s: Seconds
+        self,
+        connection: PeerConnection[Request] | None,
+        make_request: Callable[[int], Request],
+        timeout_s: Seconds,
     ) -> Response:
-        """Raises NotSent where the question certainly never left, else Unanswered: also as soon as the line is lost."""
+        """The response to what `make_request` builds for a number.
+
+        Raises ConnectionFailedError where the request certainly never left, else NoResponseError: also as soon as the
+        connection is lost.
+        """
         if connection is None:
-            raise ConnectionFailedError("no line to the peer")
+            raise ConnectionFailedError("no connection to the peer")
         pending = self._pending.setdefault(connection, {})
         if len(pending) >= self._max_per_connection:
-            raise ConnectionFailedError(f"{self._max_per_connection} questions are open already")
+            raise ConnectionFailedError(f"{self._max_per_connection} requests are pending already")
         self._last_number += 1
         number = self._last_number
         response: Deferred[Response] = Deferred()
@@ -56,17 +65,17 @@
         try:
             return await response
         except DeferredTimeout as error:
-            raise NoResponseError(f"no answer in {timeout_s:g} s") from error
+            raise NoResponseError(f"no response in {timeout_s:g} s") from error
         finally:
             pending.pop(number, None)
 
     def on_response(self, connection: PeerConnection[Request], response: Response) -> None:
-        """An answer came; one to a question that nobody waits for any more is dropped."""
+        """A response came; one that nobody waits for any more is dropped."""
         waiting = self._pending.get(connection, {}).pop(response.number, None)
         if waiting is not None:
             waiting.callback(response)
 
     def on_connection_lost(self, connection: PeerConnection[Request]) -> None:
-        """The line is lost, and with it all answers that were to come on it."""
+        """The connection is lost, and with it all responses that were to come on it."""
         for waiting in list(self._pending.pop(connection, {}).values()):
-            waiting.errback(NoResponseError("the line is lost"))
+            waiting.errback(NoResponseError("the connection is lost"))
--- a/run.py
+++ b/run.py
@@ -29,7 +29,7 @@
     # nothing may be written beside the sources. Where they were changed since, they count.
     sys.path.insert(0, _COMPILED)
 
-from meadowcross.controller.controller import main  # noqa: E402  (the paths above come first)
+from meadowcross.controller.main import main  # noqa: E402  (the paths above come first)
 
 if __name__ == "__main__":
     sys.exit(main(sys.argv[1:]))
--- a/tests/common/test_settings.py
+++ b/tests/common/test_settings.py
@@ -5,7 +5,7 @@
 import pytest
 
 from meadowcross.common.settings import OperatorSettings, SettingsError, load_operator_settings, load_settings
-from meadowcross.controller.controller import main
+from meadowcross.controller.main import main
 
 GOOD = """
 host_name = "paddock-0"
--- a/tests/estimates/test_stored_estimates.py
+++ b/tests/estimates/test_stored_estimates.py
@@ -13,6 +13,7 @@
 from meadowcross.jobs import messages as jm
 from meadowcross.leadership.messages import PeerHeartbeat, decode
 from meadowcross.leadership.peer_link import PeerLink
+from tests.support.peers import connect_quiet_node
 from tests.support.world import job
 
 CLASS = "est/c/train"
@@ -305,7 +306,7 @@
 def test_a_peer_of_an_earlier_version_says_nothing_of_ends(world):
     answers = []
     beat = PeerHeartbeat(NodeName("n0"), True, FencingToken(7), 5)
-    link = PeerLink(world.clock, [], lambda: beat, lambda job: None, lambda beat: None, None)
+    link = connect_quiet_node(PeerLink(world.clock, []), beat)
 
     class Line:
         def send(self, message):
@@ -313,7 +314,7 @@
                 old = json.dumps({"kind": "progress", "number": message.number, "counts": {"wk-000001": [3, 2]}})
                 world.clock.callLater(0.01, link.on_message, self, decode(old.encode()))
 
-    link._connections[NodeName("n1")] = Line()
+    link.on_connected(NodeName("n1"), Line())
     link.request_progress(NodeName("n1"), jm.JobId("wk-000001")).addCallback(answers.append)
     world.pass_time(1.0)
     assert answers == [(3, 2, None)]
--- a/tests/jobs/test_api.py
+++ b/tests/jobs/test_api.py
@@ -17,9 +17,11 @@
 from meadowcross.jobs.collaborators import JobEvents, PeerQueries
 from meadowcross.jobs.job_reader import MAX_END_WAITERS
 from meadowcross.jobs.messages import EndedRecord, JobProgress, JobState
-from meadowcross.leadership.messages import PeerHeartbeat
-from meadowcross.leadership.peer_link import PeerLink, PeerProtocol
+from meadowcross.leadership.messages import ForwardRequest, PeerHeartbeat, ProgressRequest
+from meadowcross.leadership.peer_connection import PeerProtocol
+from meadowcross.leadership.peer_link import PeerLink
 from meadowcross.store.messages import encode_raw
+from tests.support.peers import connect_quiet_node
 from tests.support.world import job
 
 BAD = [
@@ -202,23 +204,32 @@
         """Nothing to set."""
 
 
+class CountingLink(PeerLink):
+    """Counts the requests that it is asked."""
+
+    requests_received = 0
+
+    def on_message(self, connection, message):
+        self.requests_received += isinstance(message, ForwardRequest | ProgressRequest)
+        super().on_message(connection, message)
+
+
 def linked(world, serve, counts):
-    """Two peer links joined by a line; returns the asking one."""
+    """Two peer links joined by a connection: the asking one and the asked one."""
 
     def link(name, store_ok):
         beat = PeerHeartbeat(NodeName(name), store_ok, FencingToken(7) if store_ok else None, 5)
-        return PeerLink(world.clock, [], lambda: beat, counts.get, lambda beat: None, serve)
+        return connect_quiet_node(CountingLink(world.clock, []), beat, counts.get, serve), beat
 
-    asking, asked = link("n0", False), link("n1", True)
-    ends = PeerProtocol(asking), PeerProtocol(asked)
-    ends[0].peer = NodeName("n1")
+    (asking, _), (asked, asked_beat) = link("n0", False), link("n1", True)
+    ends = PeerProtocol(asking, NodeName("n1")), PeerProtocol(asked)
     # The one that only answers first: the other speaks as soon as it is connected.
     for end, other in (ends[::-1], ends):
         wire = Wire()
         wire.other = other
         end.makeConnection(wire)
-    ends[1].send(asked._own_heartbeat())
-    return asking
+    ends[1].send(asked_beat)
+    return asking, asked
 
 
 def test_the_peer_link_passes_requests_on_and_gathers_questions_for_counts(world):
@@ -230,22 +241,23 @@
             503 if operation == "cancel" else 200, b'{"x":"\\u00e9"}\n', 1 if operation == "cancel" else None
         )
 
-    link = linked(world, serve, {"wk-000001": JobProgress(3, 2, (1.0, 2.0, 3.0))})
+    link, asked = linked(world, serve, {"wk-000001": JobProgress(3, 2, (1.0, 2.0, 3.0))})
+    status = link.status
     # The largest body that is taken, of characters that JSON escapes.
     body = b'"' * MAX_BODY
     assert world.run(link.forward("submit", "", body)) == ServerResponse(200, b'{"x":"\\u00e9"}\n')
     assert world.run(link.forward("cancel", "wk-000001", b"")).retry_after == 1
     assert served == [("submit", "", MAX_BODY), ("cancel", "wk-000001", 0)]
-    assert (link.peer_has_store(), link.most_workers_heard(), link.reported_leader()) == (True, 5, ("n1", 7))
+    assert (status.peer_has_store(), status.most_workers_heard(), status.reported_leader()) == (True, 5, ("n1", 7))
     answers = []
     for name in ("wk-000001", "wk-000002", "wk-000001"):
         link.request_progress(NodeName("n1"), name).addCallback(answers.append)
     world.pass_time(0.1)
-    assert answers == [(3, 2, (1.0, 2.0, 3.0)), (3, 2, (1.0, 2.0, 3.0)), None] and link._requests._last_number == 3
+    assert answers == [(3, 2, (1.0, 2.0, 3.0)), (3, 2, (1.0, 2.0, 3.0)), None] and asked.requests_received == 3
     # A peer that has fallen silent is asked no more.
     world.clock.advance(10.0)
     assert world.run(link.forward("query", "wk-000001", b"")) is None
-    assert (link.peer_has_store(), link.most_workers_heard(), link.reported_leader()) == (False, None, None)
+    assert (status.peer_has_store(), status.most_workers_heard(), status.reported_leader()) == (False, None, None)
 
 
 def test_a_storm_of_questions_is_refused_at_once_and_keeps_nobody_from_submitting(world):
--- a/tests/leadership/test_cancellation.py
+++ b/tests/leadership/test_cancellation.py
@@ -17,7 +17,8 @@
 from meadowcross.leadership import cancellation_tracker
 from meadowcross.leadership.cancellation_broadcast import MAX_REMEMBERED_JOBS, CancellationBroadcast
 from meadowcross.leadership.messages import MAX_CANCELLATIONS, CancellationNotice, decode, encode
-from meadowcross.leadership.peer_link import PeerLink, PeerProtocol
+from meadowcross.leadership.peer_connection import PeerProtocol
+from meadowcross.leadership.peer_link import PeerLink
 from meadowcross.leadership.term import LeaderTerm
 from meadowcross.replication.follower import ReplicaFollower
 from meadowcross.replication.store_replica import StoreReplica
@@ -27,6 +28,7 @@
 from simulation.world import Lab
 from tests.simulation.test_isolation_and_starvation import WHERE
 from tests.simulation.test_overlapping_failures import signs_of
+from tests.support.peers import connect_quiet_node
 
 CANCEL_S = 24.0
 REFUSED_S, OUTAGE_S, ASIDE_S = 29.4, 30.6, 30.7
@@ -476,7 +478,8 @@
         told.append((name, message))
         return answers.pop(0) if answers else False
 
-    return CancellationBroadcast(world.clock, lambda: term, lambda: known, ask), told
+    known_leader = known if callable(known) else lambda: known
+    return CancellationBroadcast(world.clock, lambda: term, known_leader, ask), told
 
 
 NAME = "wk-000001"
@@ -504,8 +507,7 @@
     world.pass_time(8.0)
     assert len(told) == 6 and all(message.revisions == {NAME: 50} for _, message in told)
     known = ["n1", FencingToken(7)]
-    other, told = node(world)
-    other._known_leader = lambda: tuple(known)
+    other, told = node(world, known=lambda: tuple(known))
     other.announce(NAME, Revision(50), False)
     other.announce("wk-000002", Revision(50), True)
     world.pass_time(2.0)
@@ -526,7 +528,7 @@
         cancels.announce(name, Revision(50), False)
     world.pass_time(3.0)
     assert (
-        len(told[-1][1].revisions) == len(cancels._unacknowledged) == MAX_CANCELLATIONS
+        len(told[-1][1].revisions) == cancels.unacknowledged_count == MAX_CANCELLATIONS
         and names[-1] in told[-1][1].revisions
     )
 
@@ -549,7 +551,7 @@
     assert term is None or term.taken == [{NAME: 5}] * 2
     for first in range(0, 2 * MAX_REMEMBERED_JOBS, 1000):
         cancels.on_notice(CancellationNotice(0, FencingToken(token), {f"wk-{first + n:07d}": 5 for n in range(1000)}))
-    assert not cancels.is_announced(NAME) and len(cancels._announced) == MAX_REMEMBERED_JOBS
+    assert not cancels.is_announced(NAME) and cancels.announced_count == MAX_REMEMBERED_JOBS
 
 
 def told(**jobs):
@@ -647,7 +649,7 @@
 
 
 def link_of(world, take):
-    return PeerLink(world.clock, [], lambda: None, lambda name: None, lambda beat: None, None, apply_cancellations=take)
+    return connect_quiet_node(PeerLink(world.clock, []), on_notice=take)
 
 
 MESSAGES = [
@@ -672,7 +674,7 @@
         line.dataReceived(b"%d:%s," % (len(body), body))
         line.dataReceived(b"%d:%s," % (len(good), good))
     # An ended world of an earlier test may still say something when its garbage is collected.
-    ours = [record for record in caplog.records if record.filename == "peer_link.py"]
+    ours = [record for record in caplog.records if record.filename == "peer_connection.py"]
     assert len(ours) == 1 and [one.revisions for one in heard] == [{NAME: 1}]
     assert decode(good).revisions == {NAME: 1}
 
@@ -684,4 +686,4 @@
         line.dataReceived(b"%d:" % (line.MAX_LENGTH + 1))
         assert transport.disconnecting
         line.connectionLost()
-    assert len([record for record in caplog.records if record.filename == "peer_link.py"]) == 1
+    assert len([record for record in caplog.records if record.filename == "peer_connection.py"]) == 1
--- a/tests/leadership/test_election.py
+++ b/tests/leadership/test_election.py
@@ -6,9 +6,8 @@
 from twisted.internet.defer import Deferred
 
 from meadowcross.common.clock import pause
-from meadowcross.common.types import NodeName
-from meadowcross.leadership.election import Election
 from meadowcross.store.client import StoreClient
+from tests.support.election import make_election
 
 
 class Record:
@@ -27,7 +26,7 @@
 def node(world, name):
     record = Record()
     store = StoreClient(world.clock, world.net, "state:1", world.settings.facts.state)
-    election = Election(world.clock, store, NodeName(name), name + "-life", 3.0, record.begin, lambda: None)
+    election = make_election(world.clock, store, name, name + "-life", record.begin)
     Deferred.fromCoroutine(election.run())
     return election, record
 
@@ -108,7 +107,7 @@
 
 def test_an_election_closed_with_its_process_stops_no_term(world):
     """What the term's own coroutines wait for must not be called any more: they may be closed already."""
-    world.election = Election(world.clock, world.store, NodeName("n0"), "one", 3.0, world.begin, lambda: None)
+    world.election = make_election(world.clock, world.store, "n0", "one", world.begin)
     run = world.election.run()
     Deferred.fromCoroutine(run)
     world.pass_time(0.5)
--- /dev/null
+++ b/tests/leadership/test_peer_link.py
@@ -0,0 +1,12 @@
+"""The link between controllers takes every message that they send."""
+
+from __future__ import annotations
+
+from typing import get_args
+
+from meadowcross.leadership.messages import Message
+from meadowcross.leadership.peer_link import PeerLink
+
+
+def test_every_message_has_a_handler(world):
+    assert PeerLink(world.clock, []).handled_types == set(get_args(Message))
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -354,9 +354,9 @@
     """Whatever raised it: here the evidence itself is told wrongly."""
     world = lab([])
     for name in world.names:
-        standby = world.nodes[name].failure_detector
-        standby._collect_evidence = lambda leader, began, rate: LOST
-        standby._is_lost = lambda leader: True
+        node = world.nodes[name]
+        node.failure_detector.evidence_against = lambda leader, lost_at, writes_per_s: LOST
+        node.cluster_view.is_lost = lambda leader: True
     world.simulation.run(30.0)
     first = world.leader()
     others = [world.nodes[name] for name in world.names if name != first]
@@ -368,7 +368,7 @@
     wrong = next(node for node in others if node.failure_detector.false_alarm_count)
     if wrong.election.token is None:
         wrong.failure_detector.on_peer_lost(second)
-        assert not wrong.failure_detector._is_investigating
+        assert not wrong.failure_detector.is_investigating
     assert world.play()["broken"] == []
 
 
@@ -410,7 +410,7 @@
     world.simulation.run(29.9)
     for node in world.nodes.values():
         if node.term is None or node.term.stopped:
-            take = node.election._begin_term
+            take = node.term_manager.begin_term
 
             def begin(token, node=node, take=take):
                 term = take(token)
@@ -421,7 +421,7 @@
                     )
                 return term
 
-            node.election._begin_term = begin
+            node.term_manager.begin_term = begin
     result = world.play()
     assert result["broken"] == [] and len(result["takeovers"]) == 2
     assert all(share >= 0.5 for share in result["served"].values())
--- a/tests/simulation/test_overlapping_failures.py
+++ b/tests/simulation/test_overlapping_failures.py
@@ -245,7 +245,7 @@
     # Some thirty machines, as many users at once, and what the nodes ask of the store and of each other.
     assert 20 < max(meeting.sockets) < 150, max(meeting.sockets)
     for node in meeting.lab.nodes.values():
-        assert node.store.is_answering()
+        assert node.services.store.is_answering()
 
 
 def ends_far_apart():
--- a/tests/simulation/test_relays.py
+++ b/tests/simulation/test_relays.py
@@ -384,6 +384,6 @@
 
 def test_without_relays_no_node_but_the_leader_has_workers():
     play = Relayed([], 30.0)
-    assert play.lab.nodes["n0"]._operator.relays is RelayMode.ALWAYS
+    assert play.lab.nodes["n0"].services.operator.relays is RelayMode.ALWAYS
     play.lab.simulation.run(25.0)
     assert sum(map(play.pool.assignment.load, play.pool.assignment.relays)) == len(play.lab.machines) > 5
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -12,15 +12,15 @@
 from meadowcross.autoscaling.cloud import CloudClient
 from meadowcross.autoscaling.messages import decode_machine_types, encode
 from meadowcross.common.settings import OperatorSettings, Settings
-from meadowcross.common.types import Address, NodeName
+from meadowcross.common.types import Address
 from meadowcross.jobs.admission import JobAdmission
 from meadowcross.jobs.api import JobApi
 from meadowcross.jobs.collaborators import IntactStore, JobEvents, LocalReplica, PeerQueries
-from meadowcross.leadership.election import Election
 from meadowcross.leadership.term import LeaderTerm
 from meadowcross.store.client import StoreClient
 from meadowcross.workers.messages import decode_heartbeat
 from simulation.standins import TYPES, CloudService, FakeNet, StateService, Worker
+from tests.support.election import make_election
 
 SETTINGS = {
     "host_name": "n0",
@@ -123,7 +123,7 @@
 
     def lead(self, life: str = "one") -> LeaderTerm:
         """Elect this node and let the term load."""
-        self.election = Election(self.clock, self.store, NodeName("n0"), life, 3.0, self.begin, lambda: None)
+        self.election = make_election(self.clock, self.store, "n0", life, self.begin)
         Deferred.fromCoroutine(self.election.run())
         self.pass_time(0.5)
         assert self.term is not None and self.term.loaded
--- a/tests/test_wire_samples.py
+++ b/tests/test_wire_samples.py
@@ -17,6 +17,7 @@
 from meadowcross.snapshots.files import DATA_SUFFIX, MANIFEST_SUFFIX, read_newest
 from meadowcross.store.messages import encode as encode_store
 from tests.support import wire_constants
+from tests.support.peers import connect_quiet_node
 from tests.support.wire_samples import (
     CODECS,
     ENCODED_ONLY,
@@ -138,7 +139,7 @@
 )
 def test_peer_link_frames_messages_as_netstrings(question, answer):
     reactor = MemoryReactorClock()
-    link = PeerLink(reactor, [], lambda: None, lambda job: None, lambda beat: None, None)
+    link = connect_quiet_node(PeerLink(reactor, []))
     link.start(reactor, "127.0.0.1:1")
     line = reactor.tcpServers[0][1].buildProtocol(None)
     transport = StringTransport()
