--- a/meadowcross/relay/__init__.py
+++ b/meadowcross/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Relays: controllers that hold workers' sessions for the leader, which alone decides."""
+"""Relays: controllers that answer workers for the leader, under its grant; the leader alone decides."""
--- a/meadowcross/workers/registry.py
+++ b/meadowcross/workers/registry.py
@@ -10,15 +10,12 @@
 from threading import RLock
 from typing import NamedTuple
 
-from meadowcross.common.logging import get_logger
 from meadowcross.common.types import EPSILON, FencingToken, HeartbeatVersion, Instant, MachineId, TaskId
 from meadowcross.jobs.job_table import Placement, PlacementPhase
 from meadowcross.jobs.messages import JobSpec
 from meadowcross.workers.machine import Machine, TaskAttempt
 from meadowcross.workers.messages import EXIT_DONE, Heartbeat, TaskReport, TaskState
 
-log = get_logger("workers")
-
 PHASE_BY_STATE = {
     TaskState.FETCHING: PlacementPhase.FETCHING,
     TaskState.WAITING: PlacementPhase.WAITING,
