--- a/meadowcross/autoscaling/catalog.py
+++ b/meadowcross/autoscaling/catalog.py
@@ -1,10 +1,12 @@
-"""The machine types, kept fresh; also stored, so that a node that starts while the
-cloud is in trouble can still check submissions."""
+"""The cloud's machine types, read again from time to time.
+
+They are also stored, so that a node that starts while the cloud does not answer can still check submissions.
+"""
 
 from __future__ import annotations
 
-from meadowcross.autoscaling import messages as m
 from meadowcross.autoscaling.cloud import CloudClient, CloudError
+from meadowcross.autoscaling.messages import MACHINE_TYPES_KEY, MachineType, MachineTypeList, decode_machine_types
 from meadowcross.common.clock import Clock, pause
 from meadowcross.common.logging import get_logger
 from meadowcross.common.types import Revision, Seconds
@@ -22,20 +24,27 @@
 
 REFRESH_INTERVAL_S: Seconds = 45.0
 RETRY_INTERVAL_S: Seconds = 1.0
+"""After an error while no types are known."""
+RETRY_WITH_TYPES_INTERVAL_S: Seconds = 10.0
+"""After an error of the cloud while types are known."""
 
 
 class MachineTypeCatalog:
+    """Keeps the machine types that the cloud offers."""
+
     def __init__(self, clock: Clock, cloud: CloudClient, store: StoreClient) -> None:
         self._clock = clock
         self._cloud = cloud
         self._store = store
-        self._machine_types: list[m.MachineType] = []
+        self._machine_types: list[MachineType] = []
         self._is_stored = False
 
-    def machine_types(self) -> list[m.MachineType]:
+    def machine_types(self) -> list[MachineType]:
+        """Return the types; empty until some are known."""
         return self._machine_types
 
     async def run(self) -> None:
+        """Keep the types up to date until cancelled."""
         while True:
             try:
                 self._machine_types = (await self._cloud.fetch_machine_types()).types
@@ -46,28 +55,26 @@
                 log.info("machine types: %s", error)
                 if not self._machine_types:
                     await self._load_from_store()
-                await pause(self._clock, RETRY_INTERVAL_S if not self._machine_types else 10 * RETRY_INTERVAL_S)
+                await pause(self._clock, RETRY_WITH_TYPES_INTERVAL_S if self._machine_types else RETRY_INTERVAL_S)
             except Exception:
+                # A fault here must not end the loop.
                 log.exception("machine types")
                 await pause(self._clock, RETRY_INTERVAL_S)
 
     async def _load_from_store(self) -> None:
         try:
-            item = await self._store.get(m.MACHINE_TYPES_KEY)
+            item = await self._store.get(MACHINE_TYPES_KEY)
             if item is not None:
-                self._machine_types = m.decode_machine_types(item.value).types
+                self._machine_types = decode_machine_types(item.value).types
                 self._is_stored = True
         except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
             log.info("stored machine types: %s", error)
 
     async def _save_to_store(self) -> None:
         try:
-            value = encode_raw(m.MachineTypeList(self._machine_types))
-            await self._store.transact(
-                [Condition(m.MACHINE_TYPES_KEY, Revision(0))],
-                [Put(m.MACHINE_TYPES_KEY, value)],
-                RequestPriority.BACKGROUND,
-            )
+            is_absent = Condition(MACHINE_TYPES_KEY, Revision(0))
+            put = Put(MACHINE_TYPES_KEY, encode_raw(MachineTypeList(self._machine_types)))
+            await self._store.transact([is_absent], [put], RequestPriority.BACKGROUND)
             self._is_stored = True
         except ConflictError:
             self._is_stored = True
--- /dev/null
+++ b/meadowcross/autoscaling/demand.py
@@ -0,0 +1,69 @@
+"""What the queue needs of machines that are not there yet."""
+
+from __future__ import annotations
+
+from meadowcross.autoscaling.context import AutoscalerContext
+from meadowcross.autoscaling.machine_kinds import find_expensive_kinds, requires_expensive_kind
+from meadowcross.autoscaling.sizing import CapacityDemand, mark_at_risk
+from meadowcross.common.types import MachineKind, Seconds
+from meadowcross.jobs.messages import JobSpec
+from meadowcross.placement.model import queue_order
+
+
+class DemandTracker:
+    """The current demands in queue order, and when there last were any and any at risk."""
+
+    def __init__(self, context: AutoscalerContext) -> None:
+        self._context = context
+        self.demands: list[CapacityDemand] = []
+        self.expensive_kinds: set[MachineKind] = set()
+        self.last_demand_at = 0.0
+        self.last_at_risk_at = 0.0
+
+    def update_expensive_kinds(self) -> None:
+        """Work out which kinds are expensive; none is where work may not wait for cheaper capacity."""
+        if self._context.saves_money:
+            multiple = self._context.operator.dear_multiple
+            self.expensive_kinds = find_expensive_kinds(self._context.machine_types(), multiple)
+
+    def requires_expensive_kind(self, spec: JobSpec) -> bool:
+        """Return whether only expensive kinds may run the job."""
+        return requires_expensive_kind(spec, self._context.machine_types(), self.expensive_kinds)
+
+    def update(self) -> None:
+        """Read the demands from the queue, within the teams' quotas."""
+        context = self._context
+        view = context.host.scheduling_view
+        cpus = sum(
+            machine.machine_type.cpus
+            for machine in context.machines().values()
+            if machine.machine_type is not None and machine.decommission_reason is None
+        )
+        headroom_by_team = view.quota_headroom()
+        self.demands = []
+        slacks_s: list[Seconds] = []
+        for pending_job in sorted(view.pending_jobs(), key=queue_order):
+            spec, headroom = pending_job.spec, headroom_by_team[pending_job.spec.team]
+            count = min(pending_job.task_count, headroom.max_tasks(spec))
+            headroom.consume(spec, count)
+            if count:
+                placed_by_zone = pending_job.count_siblings_by_zone()
+                self.demands.append(
+                    CapacityDemand(spec, count, pending_job.expected_run_s, placed_by_zone=placed_by_zone)
+                )
+                # To be late to start is to be late too: money may buy room for either objective.
+                slacks_s.append(min(pending_job.slack_s, pending_job.start_slack_s))
+        shortest_boot_s = min((context.expected_boot_s(t) for t in context.machine_types()), default=0.0)
+        mark_at_risk(self.demands, slacks_s, cpus, shortest_boot_s)
+
+    def record_times(self) -> None:
+        """Note that there are demands now, and whether one is at risk."""
+        now = self._context.now
+        if any(demand.is_at_risk for demand in self.demands):
+            self.last_at_risk_at = now
+        if self.demands:
+            self.last_demand_at = now
+
+    def import_at_risk_age(self, age_s: Seconds) -> None:
+        """Take over how long ago the previous leader saw a demand at risk."""
+        self.last_at_risk_at = max(self.last_at_risk_at, self._context.now - age_s)
--- a/meadowcross/autoscaling/messages.py
+++ b/meadowcross/autoscaling/messages.py
@@ -1,4 +1,4 @@
-"""What the cloud and a node exchange, and machines as stored; wire names stay here."""
+"""Messages of the cloud's API, and machines as stored. Names on the wire stand here only."""
 
 from __future__ import annotations
 
@@ -9,6 +9,8 @@
 
 
 class MachineType(Struct, frozen=True):
+    """A machine type that the cloud offers: resources of one machine, prices, times in seconds."""
+
     name: str = field(name="label")
     cpus: float
     memory_gb: float = field(name="memoryGb")
@@ -22,10 +24,14 @@
 
 
 class MachineTypeList(Struct):
+    """The answer to a request for the machine types; stored in the same form."""
+
     types: list[MachineType] = field(name="builds")
 
 
 class CreateMachinesRequest(Struct):
+    """A request for machines; the cloud executes one `request_id` at most once."""
+
     request_id: str = field(name="hire")
     type: str = field(name="build")
     zone: str = field(name="field")
@@ -34,10 +40,14 @@
 
 
 class MachineIds(Struct):
+    """The machines that were created, or that are to be deleted."""
+
     machines: list[MachineId] = field(name="stalls")
 
 
 class ListedMachine(Struct):
+    """A machine in the cloud's list; `age_s` counts from its creation to the time that the list describes."""
+
     id: MachineId
     type: str = field(name="build")
     zone: str = field(name="field")
@@ -48,10 +58,13 @@
 
     @property
     def kind(self) -> MachineKind:
+        """Its type, zone and market."""
         return MachineKind(self.type, self.zone, self.spot)
 
 
 class MachineListPage(Struct):
+    """One page of the cloud's list, in the order of ids."""
+
     machines: list[ListedMachine] = field(name="stalls")
     has_more: bool = field(name="hasNext", default=False)
 
@@ -80,4 +93,5 @@
 
 
 def machine_key(machine: MachineId) -> str:
+    """Return the key of a machine's record in the store."""
     return MACHINE_KEY_PREFIX + machine
--- /dev/null
+++ b/meadowcross/autoscaling/scale_in.py
@@ -0,0 +1,132 @@
+"""Scaling in: drains machines that the work at hand does not need, and returns idle ones."""
+
+from __future__ import annotations
+
+from meadowcross.autoscaling.context import AutoscalerContext
+from meadowcross.autoscaling.decommissioning import Decommissioner
+from meadowcross.autoscaling.demand import DemandTracker
+from meadowcross.autoscaling.machine_kinds import kind_price
+from meadowcross.autoscaling.sizing import MIN_CHARGE_S
+from meadowcross.autoscaling.surplus import MachineUsage, select_surplus_machines
+from meadowcross.common.logging import get_logger
+from meadowcross.common.types import Seconds
+from meadowcross.jobs.messages import JobSpec
+from meadowcross.placement.model import is_kind_allowed
+from meadowcross.workers.eviction import plan_drain_evictions
+from meadowcross.workers.machine import Machine
+
+log = get_logger("fleet")
+
+
+class ScaleIn:
+    """Decides which machines drain, and decommissions the idle ones.
+
+    Where work may not wait for cheaper capacity, nothing is drained and no kind is expensive: once the machines that a
+    site had from its start were returned as expensive one by one, while its idle-time work waited for room.
+    """
+
+    def __init__(self, context: AutoscalerContext, demand: DemandTracker, decommissioner: Decommissioner) -> None:
+        self._context = context
+        self._demand = demand
+        self._decommissioner = decommissioner
+
+    def run(self) -> None:
+        """Update which machines drain, and return those that were idle for long enough."""
+        self._demand.record_times()
+        self._update_draining()
+        for machine in self._context.machines().values():
+            if machine.is_up and not machine.placements and machine.decommission_reason is None:
+                self._return_if_idle(machine)
+
+    def _update_draining(self) -> None:
+        """Drain what is surplus if nothing has waited lately; expensive machines if nothing was at risk; else none."""
+        context, demand = self._context, self._demand
+        now, drain_after_s = context.now, context.operator.drain_after_s
+        if context.saves_money and now - demand.last_demand_at > drain_after_s:
+            self._drain_surplus()
+        elif now - demand.last_at_risk_at > drain_after_s:
+            self._drain_expensive()
+        else:
+            for machine in context.machines().values():
+                machine.is_draining = False
+
+    def _drain_surplus(self) -> None:
+        """Drain the machines that the work at hand does not need, and evict from them what can save a checkpoint."""
+        view = self._context.host.scheduling_view
+        usages = [
+            MachineUsage(
+                machine.id,
+                machine.machine_type.cpus,
+                machine.usage.cpus,
+                machine.machine_type.memory_gb,
+                machine.usage.memory_gb,
+                kind_price(machine.kind, machine.machine_type),
+            )
+            for machine in self._context.machines().values()
+            if machine.machine_type is not None and (machine.is_draining or view.is_schedulable(machine))
+        ]
+        surplus = set(select_surplus_machines(usages, self._context.operator.spare_percent / 100))
+        for machine in self._context.machines().values():
+            if machine.is_draining != (machine.id in surplus):
+                machine.is_draining = not machine.is_draining
+                log.debug("machine %s draining: %s", machine.id, machine.is_draining)
+            if machine.is_draining:
+                self._evict_checkpointable(machine)
+
+    def _evict_checkpointable(self, machine: Machine) -> None:
+        host = self._context.host
+        is_expensive = machine.kind in self._demand.expensive_kinds
+        for placement, grace_s in plan_drain_evictions(machine, host.job_table, host.runs, self._context.now):
+            spec = host.job_table.jobs[placement.task.job].spec
+            # What only expensive kinds may run would come back to one, so it stays.
+            if not is_expensive or not self._demand.requires_expensive_kind(spec):
+                host.stop_task(placement, grace_s)
+
+    def _drain_expensive(self) -> None:
+        """Drain the expensive machines that no work requires."""
+        demand = self._demand
+        waiting_specs = [each.spec for each in demand.demands if demand.requires_expensive_kind(each.spec)]
+        for machine in self._context.machines().values():
+            machine.is_draining = (
+                machine.kind in demand.expensive_kinds
+                and machine.is_up
+                and not self._is_required(machine, waiting_specs)
+            )
+
+    def _is_required(self, machine: Machine, waiting_specs: list[JobSpec]) -> bool:
+        """Return whether no cheaper machine may run what waits, or what runs on this expensive one.
+
+        Once every on-demand machine was drained as expensive, and work that may use no other kind waited for ever.
+        """
+        jobs = self._context.host.job_table.jobs
+        job_ids = {placement.task.job for placement in machine.placements.values()}
+        running_specs = [job.spec for job_id in job_ids if (job := jobs.get(job_id)) is not None]
+        return any(is_kind_allowed(spec, machine.kind) for spec in waiting_specs) or any(
+            self._demand.requires_expensive_kind(spec) for spec in running_specs
+        )
+
+    def _return_if_idle(self, machine: Machine) -> None:
+        """Decommission a machine without tasks once it was idle for long enough and its minimum charge is used up."""
+        if machine.reported.orphaned:
+            return
+        now = self._context.now
+        idle_s = now - machine.idle_since
+        keep_s = 0.0
+        if not machine.is_draining or machine.kind not in self._demand.expensive_kinds:
+            keep_s = self._idle_keep_s(machine)
+        may_return = machine.is_draining or not self._demand.demands
+        if may_return and idle_s >= keep_s and now - machine.rented_at >= MIN_CHARGE_S:
+            self._decommissioner.decommission(machine, f"idle for {idle_s:.0f} s")
+
+    def _idle_keep_s(self, machine: Machine) -> Seconds:
+        """Return how long an idle machine is kept.
+
+        It may cost as much as the boot that returning it may bring; where money does not count it is kept while more
+        work of some class is likely to come.
+        """
+        operator = self._context.operator
+        if not self._context.saves_money:
+            return operator.ready_keep_s
+        machine_type = machine.machine_type
+        boot_s = self._context.expected_boot_s(machine_type) if machine_type is not None else 0.0
+        return operator.idle_keep_boots * boot_s
--- a/meadowcross/leadership/completion_forecaster.py
+++ b/meadowcross/leadership/completion_forecaster.py
@@ -11,8 +11,8 @@
 from math import inf
 
 from meadowcross.autoscaling.autoscaler import Autoscaler
+from meadowcross.autoscaling.machine_kinds import list_machine_kinds
 from meadowcross.autoscaling.messages import MachineType
-from meadowcross.autoscaling.sizing import list_machine_kinds
 from meadowcross.common.clock import Clock
 from meadowcross.common.logging import get_logger
 from meadowcross.common.types import Instant, JobId, MachineKind, Seconds
--- a/tests/autoscaling/test_silent_machines.py
+++ b/tests/autoscaling/test_silent_machines.py
@@ -20,8 +20,9 @@
 
 @pytest.mark.parametrize(("zones", "kept"), [c[1:] for c in CASES], ids=[c[0] for c in CASES])
 def test_patience(zones, kept):
-    machines = [(zone, n < quiet) for zone, (quiet, count) in zones.items() for n in range(count)]
-    assert silence_timeout_by_zone(machines, 8.0, 45.0) == kept
+    known = {zone: count for zone, (_, count) in zones.items()}
+    silent = {zone: quiet for zone, (quiet, _) in zones.items()}
+    assert silence_timeout_by_zone(known, silent, 8.0, 45.0) == kept
 
 
 def test_the_room_of_deleted_machines_is_asked_for_at_once(world):
@@ -32,7 +33,7 @@
     assert world.running()
     (dead,) = {p.machine for p in term.job_table.jobs["wk-000001"].placements.values() if p.task.number == 0}
     kind = term.worker_registry.machines[dead].kind
-    term.autoscaler._unavailable_until[kind] = term.now + 1000.0
+    term.autoscaler.kind_availability.mark_unavailable(kind, 1000.0)
     world.net.hosts.pop(world.workers.pop(dead).machine["addr"])
     world.cloud.on_delete = lambda name: None
     known = set(world.cloud.machines)
@@ -96,7 +97,7 @@
     world.pass_time(1.0)
     assert term.scheduling_view.is_schedulable(machine), "taken back when answers arrive"
     world.net.hosts.pop(worker.machine["addr"])
-    term.autoscaler._host.dispatcher.probe(name)
+    term.dispatcher.probe(name)
     machine.contact.unresponsive_since = term.now
     world.pass_time(30.0, 0.25)
     assert name in world.cloud.deleted
--- a/tests/autoscaling/test_sizing.py
+++ b/tests/autoscaling/test_sizing.py
@@ -6,18 +6,16 @@
 import pytest
 
 from meadowcross.autoscaling import sizing
+from meadowcross.autoscaling.machine_kinds import find_expensive_kinds, requires_expensive_kind
 from meadowcross.autoscaling.messages import decode_machine_types, encode
 from meadowcross.autoscaling.sizing import (
     CapacityDemand,
     IncomingCapacity,
-    MachineUsage,
-    find_expensive_kinds,
     mark_at_risk,
     plan_scale_out,
-    requires_expensive_kind,
-    select_surplus_machines,
     split_by_zone,
 )
+from meadowcross.autoscaling.surplus import MachineUsage, select_surplus_machines
 from meadowcross.common.types import MachineId, MachineKind
 from meadowcross.jobs.messages import JobSpec
 from simulation.standins import TYPES
