--- a/meadowcross/store/__init__.py
+++ b/meadowcross/store/__init__.py
@@ -1,1 +1,1 @@
-"""The state-service client: transactions, holds, watches, budgets, group commit."""
+"""The state-service client: reads, transactions, leases, watches, rate limits and group commit."""
