--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -179,11 +179,11 @@
             world.clock.advance(0.05)
 
     # Every pass is asked for by hand from here on: the ticks would add their own.
-    term._ticker.stop()
+    term.maintenance_loop.stop()
     term.autoscaler._tick.stop()
     settle()
-    idle = [meter.of(term._run_pass) for _ in range(ROUNDS)]
-    ticks = [meter.of(term._on_tick) for _ in range(ROUNDS)]
+    idle = [meter.of(term.scheduling_loop.run_pass) for _ in range(ROUNDS)]
+    ticks = [meter.of(term.maintenance_loop.tick) for _ in range(ROUNDS)]
     changed: list[float] = []
     passes: dict[int, list[float]] = {1: [], 10: []}
     identity = 300_000
@@ -193,7 +193,7 @@
         for _ in range(ROUNDS // 3):
             settle()
             # No pass until the new job is there: else what waits would take the room.
-            pending, term._is_pass_scheduled = term._is_pass_scheduled, True
+            pending, term.pass_trigger.is_scheduled = term.pass_trigger.is_scheduled, True
             for _ in range(count):
                 worker, key = next(ended)
                 worker.end(key)
@@ -205,8 +205,8 @@
             )
             for _ in range(4):
                 world.clock.advance(0.05)
-            term._is_pass_scheduled = pending
-            passes[count].append(meter.of(term._run_pass))
+            term.pass_trigger.is_scheduled = pending
+            passes[count].append(meter.of(term.scheduling_loop.run_pass))
             assert term.job_table.jobs[spec["id"]].waiting_count == 0, "not placed"
             settle()
     fleet_ticks = [meter.of(term.autoscaler._on_tick) for _ in range(ROUNDS)]
--- /dev/null
+++ b/meadowcross/leadership/commit_outcome.py
@@ -0,0 +1,160 @@
+"""What follows from a transaction that was stored, refused, or never answered."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import Protocol
+
+from msgspec import Raw
+
+from meadowcross.common.types import JobId, Revision
+from meadowcross.jobs import messages as job_messages
+from meadowcross.leadership.ended_jobs import EndedJobs
+from meadowcross.leadership.messages import LEADER_KEY
+from meadowcross.leadership.term_context import TermState
+from meadowcross.leadership.term_recovery import TermRecovery
+from meadowcross.recovery.messages import RECOVERY_PROGRESS_KEY
+from meadowcross.replication.follower import ReplicaFollower
+from meadowcross.store.client import StoreClient
+from meadowcross.store.messages import Delete, Item, Put
+from meadowcross.store.token_bucket import RequestPriority
+
+
+class JobRecordSink(Protocol):
+    """Takes in what is stored of an open job."""
+
+    def apply(self, key: str, value: Raw, revision: Revision) -> None:
+        """See `JobRecords.apply`."""
+
+
+class CommitOutcome:
+    """Keeps the term's state in step with the store, after each write and after each write of unknown fate."""
+
+    def __init__(
+        self,
+        state: TermState,
+        store: StoreClient,
+        follower: ReplicaFollower | None,
+        ended_jobs: EndedJobs,
+        recovery: TermRecovery,
+    ) -> None:
+        self._context = state.context
+        self._lifecycle = state.lifecycle
+        self._job_table = state.job_table
+        self._store = store
+        self._follower = follower
+        self._ended_jobs = ended_jobs
+        self._recovery = recovery
+        self._job_records: JobRecordSink | None = None
+        self._last_write_revision = Revision(0)
+
+    def count_stored_keys(self) -> tuple[Revision, int, int, int, int] | None:
+        """The revision of our replica and its counts of keys, by kind; None if it lacks a write of ours."""
+        if self._follower is None:
+            return None
+        replica = self._follower.replica
+        if self._last_write_revision > replica.revision:
+            return None
+        return (replica.revision, *replica.counts())
+
+    def set_job_records(self, job_records: JobRecordSink) -> None:
+        """Set what takes in open jobs that are read again."""
+        self._job_records = job_records
+
+    def on_written(self, revision: Revision, changes: Sequence[Put | Delete]) -> None:
+        """A transaction of ours was stored at this revision."""
+        self._last_write_revision = revision
+        if self._follower is not None:
+            self._follower.apply_own_write(revision, changes)
+        if self._recovery.is_writing_back:
+            for change in changes:
+                self._recovery.on_stored(change.key)
+
+    async def reread_keys(self, keys: list[str]) -> None:
+        """Take in what the keys hold now, after a conflict or a lost answer. Raises `StoreError`."""
+        # As known before the reads: the watch may tell of something newer while an answer is on its way, and what is
+        # older than that must not be taken for a loss of data.
+        revisions_before = {
+            key: job.mod_revision
+            for key in keys
+            if (job := self._job_table.jobs.get(JobId(key.removeprefix(job_messages.OPEN_PREFIX))))
+        }
+        items = await self._store.get_all(keys, RequestPriority.PLACEMENT)
+        for key, item in zip(keys, items, strict=True):
+            if self._lifecycle.is_stopped:
+                return
+            if not await self._apply_key(key, item, revisions_before.get(key, Revision(0))):
+                return
+            if self._follower is not None:
+                # Only now: what is gone without our doing was lost, and our replica still has it.
+                self._follower.apply_read(key, item)
+
+    async def _apply_key(self, key: str, item: Item | None, revision_before: Revision) -> bool:
+        """Take in one key. False: the term ends, or data was lost; nothing else that was read counts."""
+        if key == LEADER_KEY:
+            return self._apply_leader_key(item)
+        if key.startswith(job_messages.CHUNK_PREFIX):
+            return self._apply_chunk(key, item)
+        if key.startswith(job_messages.OPEN_PREFIX):
+            return await self._apply_open_job(key, item, revision_before)
+        if key == RECOVERY_PROGRESS_KEY:
+            self._apply_recovery_progress(item)
+        elif key.startswith(job_messages.ENDED_PREFIX) and item is not None:
+            self._apply_ended_job(key)
+        elif item is not None:
+            self._recovery.on_stored(key)
+        return True
+
+    def _apply_leader_key(self, item: Item | None) -> bool:
+        if item is None or item.mod_revision != self._context.leader_condition.mod_revision:
+            self._context.leadership.step_down("the leader key is no longer ours")
+            return False
+        return True
+
+    def _apply_chunk(self, key: str, item: Item | None) -> bool:
+        job_id, chunk = job_messages.parse_chunk_key(key)
+        job = self._job_table.jobs.get(job_id)
+        if job is None:
+            return True
+        revision = item.mod_revision if item is not None else Revision(0)
+        if revision < job.chunk_revisions.get(chunk, 0):
+            self._recovery.report_data_loss(f"{key} went back")
+            return False
+        job.chunk_revisions[chunk] = revision
+        return True
+
+    async def _apply_open_job(self, key: str, item: Item | None, revision_before: Revision) -> bool:
+        job = self._job_table.jobs.get(JobId(key.removeprefix(job_messages.OPEN_PREFIX)))
+        if item is not None:
+            if item.mod_revision < revision_before:
+                self._recovery.report_data_loss(f"{key} went back")
+                return False
+            assert self._job_records is not None
+            self._job_records.apply(item.key, item.value, item.mod_revision)
+        elif job is not None and job.mod_revision > 0:
+            # Only a leader moves a job away, so our own transaction without an answer did.
+            ended = await self._store.get(job_messages.ended_key(job.id), RequestPriority.PLACEMENT)
+            if ended is None:
+                self._recovery.report_data_loss(f"{key} is gone")
+                return False
+            if self._follower is not None:
+                # Stored by the same transaction: without it our replica counts one job less.
+                self._follower.apply_read(ended.key, ended)
+            self._job_table.remove(job.id)
+            self._ended_jobs.add(job.id)
+        return True
+
+    def _apply_recovery_progress(self, item: Item | None) -> None:
+        epochs = self._recovery.store_epochs
+        if epochs is not None:
+            # Ours, carried out without an answer: it is rewritten from where it stands.
+            epochs.load_progress(item)
+
+    def _apply_ended_job(self, key: str) -> None:
+        """What was about to be written back as open is over."""
+        job_id = JobId(key.removeprefix(job_messages.ENDED_PREFIX))
+        self._ended_jobs.confirm(job_id)
+        self._job_table.remove(job_id)
+        self._ended_jobs.add(job_id)
+        self._recovery.on_stored(job_messages.open_key(job_id))
+        self._recovery.on_stored(key)
--- a/meadowcross/leadership/completion_forecaster.py
+++ b/meadowcross/leadership/completion_forecaster.py
@@ -1,7 +1,7 @@
-"""When open jobs will be done, from the leader's picture; asked by users' questions.
+"""Forecasts when open jobs will be done, for users' queries.
 
-The time is worked out by `estimates.finish`; how far such times have been off lately gives
-the interval around it, told apart by whether the job still waited for room.
+The median comes from `estimates.finish`. How far such medians were off lately gives the interval around it, by stage:
+whether the job still waits for room, and its priority.
 """
 
 from __future__ import annotations
@@ -9,6 +9,7 @@
 from collections import Counter
 from collections.abc import Callable
 from math import inf
+from typing import NamedTuple
 
 from meadowcross.autoscaling.autoscaler import Autoscaler
 from meadowcross.autoscaling.machine_kinds import list_machine_kinds
@@ -28,21 +29,39 @@
 log = get_logger("estimates")
 
 CAPACITY_PERIOD_S: Seconds = 4.0
-"""What all jobs' times rest on is worked out so often, and only if somebody asks."""
+"""What all forecasts rest on is worked out at most this often, and only if somebody asks."""
 FORECAST_VALID_S: Seconds = 15.0
-"""A job's time is told for so long, less what has passed: users ask every five seconds or so, and each
+"""A forecast is repeated for so long, less what has passed: users ask every five seconds or so, and each
 question once cost a tenth of what a task costs."""
 WAITING, PLACED = "waiting", "placed"
 FIRST_SAMPLE_S: Seconds = 2.0
-"""A job's first time is kept for judging once it has been open for so long."""
+"""A job's first forecast is recorded for evaluation once it has been open for so long."""
 MIN_FORECAST_S: Seconds = 1.0
+MIN_FETCH_GB_PER_S = 0.01
 MAX_CACHED = 20_000
 MAX_FORECASTS_PER_PERIOD = 100
-"""In each such period; who asks beyond that gets what was said last, or nothing."""
+"""In each `CAPACITY_PERIOD_S`; a query beyond that gets the last forecast, or none."""
+
+
+class _CachedForecast(NamedTuple):
+    """What was last forecast of a job."""
+
+    forecast_at: Instant
+    ends: Ends
+    """In seconds from `forecast_at`."""
+    stage: str
+
+
+class _RecordedForecast(NamedTuple):
+    """A forecast that is compared with the job's end."""
+
+    forecast_at: Instant
+    ends: Ends
+    raw_median_s: Seconds
 
 
 class _CapacitySnapshot:
-    """What stands before each waiting job, and which machines there are."""
+    """Which machines there are, and how much work is ahead of each waiting job."""
 
     def __init__(
         self,
@@ -57,7 +76,16 @@
         self.headroom = scheduling_view.quota_headroom()
         self.machines_up: Counter[MachineKind] = Counter()
         self.boots_left_s: dict[MachineKind, Seconds] = {}
-        """Until the first machine of a kind that is under way is up."""
+        """Until the first machine of each kind that is booting is up."""
+        self.machine_types = {t.name: t for t in machine_types}
+        self.expected_boot = expected_boot
+        self.rentable = [(kind, t) for kind, t in list_machine_kinds(machine_types) if may_rent(kind)]
+        """What would be rented for work that finds no room."""
+        cpus = self._count_machines(worker_registry)
+        self.wait_s = self._queue_times(scheduling_view, cpus)
+
+    def _count_machines(self, worker_registry: WorkerRegistry) -> float:
+        """Set `machines_up` and `boots_left_s`; returns the CPUs of all machines."""
         cpus = 0.0
         for machine in worker_registry.machines.values():
             if machine.machine_type is None or machine.decommission_reason is not None:
@@ -66,23 +94,26 @@
             if machine.is_up:
                 self.machines_up[machine.kind] += 1
             else:
-                boot_left_s = max(0.0, expected_boot(machine.machine_type) - (taken_at - machine.rented_at))
+                boot_s = self.expected_boot(machine.machine_type)
+                boot_left_s = max(0.0, boot_s - (self.taken_at - machine.rented_at))
                 self.boots_left_s[machine.kind] = min(boot_left_s, self.boots_left_s.get(machine.kind, boot_left_s))
-        self.machine_types = {t.name: t for t in machine_types}
-        self.expected_boot = expected_boot
-        self.rentable = [(kind, t) for kind, t in list_machine_kinds(machine_types) if may_rent(kind)]
-        """What would be rented for work that finds no room."""
-        self.wait_s: dict[JobId, Seconds] = {}
+        return cpus
+
+    @staticmethod
+    def _queue_times(scheduling_view: SchedulingView, cpus: float) -> dict[JobId, Seconds]:
+        """How long the work ahead of each waiting job takes on all these CPUs."""
+        wait_s = {}
         cpu_seconds_ahead = 0.0
         for pending_job in sorted(scheduling_view.pending_jobs(), key=queue_order):
-            self.wait_s[pending_job.job_id] = cpu_seconds_ahead / cpus if cpus > 0 else 0.0
+            wait_s[pending_job.job_id] = cpu_seconds_ahead / cpus if cpus > 0 else 0.0
             cpu_seconds_ahead += pending_job.task_count * pending_job.spec.cpus * pending_job.expected_run_s
+        return wait_s
 
     def room_for(self, job: Job) -> tuple[int, Seconds]:
-        """How many of its tasks have room at once, and when its waiting tasks' turn comes.
+        """How many of the job's tasks have room at once, and after how many seconds its waiting tasks' turn comes.
 
-        What finds no room is rented for, so its turn comes after a boot at the latest, unless
-        the cloud has just refused all that it may run on; then it waits for what is ahead."""
+        Machines are rented for what finds no room, so its turn comes after a boot at the latest, unless
+        the cloud has just refused all kinds that it may run on: then it waits for what is ahead."""
         spec = job.spec
         startable = sum(
             count * count_slots(spec, t.cpus, t.gpus, t.memory_gb)
@@ -102,6 +133,8 @@
 
 
 class CompletionForecaster:
+    """Forecasts ends of jobs, and learns from how they compare with what came."""
+
     def __init__(
         self,
         clock: Clock,
@@ -121,11 +154,11 @@
         self._learned = learned
         self._capacity: _CapacitySnapshot | None = None
         self._forecasts_this_period = 0
-        self._cache: dict[JobId, tuple[Instant, Ends, str]] = {}
+        self._cache: dict[JobId, _CachedForecast] = {}
         self._raw_medians_s: dict[JobId, Seconds] = {}
-        """As worked out last, before what was learned of such times moved them."""
-        self._pending_evaluations: dict[JobId, dict[str, tuple[Instant, Ends, Seconds]]] = {}
-        """What was said of a job while it waited, and once all of it was placed."""
+        """The last medians, before they were corrected by what was learned of earlier forecasts."""
+        self._pending_evaluations: dict[JobId, dict[str, _RecordedForecast]] = {}
+        """The first forecast of each job in each stage."""
 
     @property
     def _now(self) -> Instant:
@@ -139,33 +172,40 @@
         now = self._now
         cached = self._cache.get(job_id)
         stage = self._stage(job)
-        if cached is None or now - cached[0] >= FORECAST_VALID_S or cached[2] != stage:
-            if self._capacity is None or now - self._capacity.taken_at >= CAPACITY_PERIOD_S:
+        if cached is None or now - cached.forecast_at >= FORECAST_VALID_S or cached.stage != stage:
+            if self._is_capacity_outdated(now):
                 self._forecasts_this_period = 0
             if self._forecasts_this_period >= MAX_FORECASTS_PER_PERIOD:
                 return self._shifted(cached, now) if cached is not None else None
             self._forecasts_this_period += 1
             if len(self._cache) > MAX_CACHED:
                 self._cache.clear()
-            cached = self._cache[job_id] = (now, self._compute(job, stage, now), stage)
+            cached = self._cache[job_id] = _CachedForecast(now, self._compute(job, stage, now), stage)
         return self._shifted(cached, now)
 
+    def _is_capacity_outdated(self, now: Instant) -> bool:
+        return self._capacity is None or now - self._capacity.taken_at >= CAPACITY_PERIOD_S
+
     @staticmethod
-    def _shifted(cached: tuple[Instant, Ends, str], now: Instant) -> Ends:
-        return Ends(*(max(0.0, one - (now - cached[0])) for one in cached[1]))
+    def _shifted(cached: _CachedForecast, now: Instant) -> Ends:
+        passed_s = now - cached.forecast_at
+        return Ends(*(max(0.0, seconds - passed_s) for seconds in cached.ends))
 
-    def _compute(self, job: Job, stage: str, now: Instant) -> Ends:
-        if self._capacity is None or now - self._capacity.taken_at >= CAPACITY_PERIOD_S:
-            machine_types = self._machine_types()
-            self._capacity = _CapacitySnapshot(
+    def _current_capacity(self, now: Instant) -> _CapacitySnapshot:
+        capacity = self._capacity
+        if capacity is None or self._is_capacity_outdated(now):
+            capacity = self._capacity = _CapacitySnapshot(
                 now,
                 self._scheduling_view,
                 self._worker_registry,
-                machine_types,
-                lambda t: self._autoscaler.boot_times.expected_boot_s(t, now),
+                self._machine_types(),
+                lambda machine_type: self._autoscaler.boot_times.expected_boot_s(machine_type, now),
                 self._autoscaler.is_kind_available,
             )
-        capacity = self._capacity
+        return capacity
+
+    def _compute(self, job: Job, stage: str, now: Instant) -> Ends:
+        capacity = self._current_capacity(now)
         spec = job.spec
         ran_s = [
             ran(job, p, now)
@@ -175,7 +215,7 @@
         startable, turn_s = capacity.room_for(job)
         headroom = capacity.headroom.get(spec.team)
         allowed_tasks = headroom.max_tasks(spec) if headroom is not None else job.waiting_count
-        fetches_s = [spec.image_gb / max(t.fetch_gb_per_s, 0.01) for t in capacity.machine_types.values()]
+        fetches_s = [spec.image_gb / max(t.fetch_gb_per_s, MIN_FETCH_GB_PER_S) for t in capacity.machine_types.values()]
         remaining = Left(
             job.waiting_count,
             len(job.placements) - len(ran_s),
@@ -190,40 +230,39 @@
 
     @staticmethod
     def _stage(job: Job) -> str:
-        """Told apart by priority too: what is stopped for others is off in its own way."""
+        """By priority too: forecasts of what may be preempted are off in their own way."""
         return f"{WAITING if job.waiting_count else PLACED}/{job.spec.priority.value}"
 
     def record_forecasts(self) -> None:
-        """Keep what is said of each job at the first moment of each stage, to be judged by when
-        it was done. Few jobs come to a new stage between two looks."""
+        """Record the forecast of each job that has come to a new stage, to be compared with its end. Few jobs do so
+        between two calls."""
         now = self._now
         for job in list(self._job_table.jobs.values()):
             stage = self._stage(job)
             recorded = self._pending_evaluations.get(job.id)
             if (recorded is None or stage not in recorded) and now - job.submitted_at >= FIRST_SAMPLE_S:
-                forecast = self.forecast(job.id)
-                if forecast is not None:
-                    self._pending_evaluations.setdefault(job.id, {})[stage] = (
-                        now,
-                        forecast,
-                        self._raw_medians_s[job.id],
-                    )
+                ends = self.forecast(job.id)
+                if ends is not None:
+                    recorded_forecast = _RecordedForecast(now, ends, self._raw_medians_s[job.id])
+                    self._pending_evaluations.setdefault(job.id, {})[stage] = recorded_forecast
 
     def on_job_ended(self, job: Job) -> None:
-        """The job is over: learn from what was said of it."""
+        """The job is over: learn from what was forecast of it, if it was done."""
         self._cache.pop(job.id, None)
         self._raw_medians_s.pop(job.id, None)
+        recorded = self._pending_evaluations.pop(job.id, {})
+        if job.cancelled_at is not None or not job.is_complete:
+            return
         now = self._now
-        for stage, (forecast_at, forecast, median_s) in self._pending_evaluations.pop(job.id, {}).items():
-            if job.cancelled_at is None and job.is_complete:
-                took_s = max(MIN_FORECAST_S, now - forecast_at)
-                log.debug(
-                    "job %s (%s) took %.1f s, said %.1f to %.1f, about %.1f",
-                    job.id,
-                    stage,
-                    took_s,
-                    forecast.low,
-                    forecast.high,
-                    forecast.middle,
-                )
-                self._learned.came(stage, median_s, took_s)
+        for stage, (forecast_at, ends, raw_median_s) in recorded.items():
+            took_s = max(MIN_FORECAST_S, now - forecast_at)
+            log.debug(
+                "job %s (%s) took %.1f s, said %.1f to %.1f, about %.1f",
+                job.id,
+                stage,
+                took_s,
+                ends.low,
+                ends.high,
+                ends.middle,
+            )
+            self._learned.came(stage, raw_median_s, took_s)
--- a/meadowcross/leadership/heartbeat_handler.py
+++ b/meadowcross/leadership/heartbeat_handler.py
@@ -1,198 +1,118 @@
-"""The part of a term that takes reports and settles what they prove."""
+"""Answers workers' heartbeats."""
 
 from __future__ import annotations
 
-from meadowcross.common.logging import get_logger
-from meadowcross.common.types import (
-    Instant,
-    MachineKind,
-    NodeName,
-    Seconds,
-)
-from meadowcross.estimates.samples import Where
-from meadowcross.jobs.job_table import Job, Placement
-from meadowcross.leadership.term_base import TermBase
-from meadowcross.workers import messages as wm
+from collections.abc import Callable
+
+from meadowcross.autoscaling.autoscaler import Autoscaler
+from meadowcross.common.types import JobId, NodeName, TaskId
+from meadowcross.jobs import messages as job_messages
+from meadowcross.leadership.machine_status import MachineStatusHandler
+from meadowcross.leadership.term_context import TermState
+from meadowcross.relay.pool import RelayPool
+from meadowcross.replication.follower import ReplicaFollower
 from meadowcross.workers.dispatcher import commands_for
-from meadowcross.workers.eviction import plan_reclaim_evictions
-from meadowcross.workers.machine import Machine
-from meadowcross.workers.registry import StaleTokenError, TaskChange, TaskOutcome
+from meadowcross.workers.messages import Command, Heartbeat, HeartbeatResponse, Redirect, TaskState
+from meadowcross.workers.registry import StaleTokenError
+
 
-log = get_logger("leadership")
+class CancellationsBeforeLoad:
+    """Knows cancelled jobs before a term has loaded its state, which an outage may put off for long.
 
-UNHEALTHY_REASON = "it failed what fares well elsewhere"
+    Answers to heartbeats keep the leases of workers, so without this cancelled tasks would go on for as long."""
 
+    def __init__(self, follower: ReplicaFollower | None, is_cancel_announced: Callable[[JobId], bool]) -> None:
+        """`is_cancel_announced` tells whether a peer has said that the job's cancel is stored."""
+        self._follower = follower
+        self._is_cancel_announced = is_cancel_announced
+        self._is_cancelled_by_replica: dict[JobId, bool] = {}
 
-class HeartbeatHandler(TermBase):
-    """Takes whole reports, from workers or relays, answers them, and acts on what they prove."""
+    def list_stops(self, heartbeat: Heartbeat) -> list[Command]:
+        """Commands that stop, at once, what is known to be cancelled."""
+        return [
+            Command("stop", task.task, task.attempt, 0.0)
+            for task in heartbeat.tasks
+            if task.state is not TaskState.EXITED and self._is_cancelled(TaskId.parse(task.task).job)
+        ]
 
-    def handle_heartbeat(
-        self, heartbeat: wm.Heartbeat, relay: NodeName | None = None
-    ) -> wm.HeartbeatResponse | wm.Redirect | None:
-        """A worker's report, come to us or whole through a relay (`via`); None: we don't lead any more."""
-        if not self.loaded:
-            # Renews leases while the picture is being read; proves nothing yet.
-            return (
-                wm.HeartbeatResponse(self.token, self._stops_before_load(heartbeat))
-                if heartbeat.token <= self.token
-                else None
+    def _is_cancelled(self, job_id: JobId) -> bool:
+        if self._is_cancel_announced(job_id):
+            return True
+        if job_id not in self._is_cancelled_by_replica:
+            item = self._follower.get(job_messages.open_key(job_id)) if self._follower is not None else None
+            self._is_cancelled_by_replica[job_id] = (
+                item is not None and job_messages.decode_record(item.value).cancelled_at is not None
             )
-        if self.autoscaler.is_deleted(heartbeat.machine):
-            return wm.HeartbeatResponse(self.token, [])
-        known_machine = self.worker_registry.machines.get(heartbeat.machine)
-        # A copy that comes late says nothing of whom its machine reaches now.
-        is_copy = known_machine is not None and heartbeat.version <= max(
-            known_machine.proof.heartbeat_version, known_machine.proof.renewed_version
+        return self._is_cancelled_by_replica[job_id]
+
+
+class HeartbeatHandler:
+    """Takes whole heartbeats, from workers or from relays, and answers with commands."""
+
+    def __init__(
+        self,
+        state: TermState,
+        status_handler: MachineStatusHandler,
+        autoscaler: Autoscaler,
+        relay_pool: RelayPool | None,
+        cancellations_before_load: CancellationsBeforeLoad,
+    ) -> None:
+        self._context = state.context
+        self._lifecycle = state.lifecycle
+        self._job_table = state.job_table
+        self._worker_registry = state.worker_registry
+        self._status_handler = status_handler
+        self._autoscaler = autoscaler
+        self._relay_pool = relay_pool
+        self._cancellations_before_load = cancellations_before_load
+
+    def handle(self, heartbeat: Heartbeat, relay: NodeName | None = None) -> HeartbeatResponse | Redirect | None:
+        """Answer a worker's heartbeat, which came directly or whole through `relay`. None: this node does not lead
+        any more."""
+        token = self._context.token
+        if not self._lifecycle.is_loaded:
+            # Renews the worker's lease; proves nothing yet.
+            if heartbeat.token > token:
+                return None
+            return HeartbeatResponse(token, self._cancellations_before_load.list_stops(heartbeat))
+        if self._autoscaler.is_deleted(heartbeat.machine):
+            return HeartbeatResponse(token, [])
+        known = self._worker_registry.machines.get(heartbeat.machine)
+        # A late copy says nothing of whom its machine reaches now.
+        is_copy = known is not None and heartbeat.version <= max(
+            known.proof.heartbeat_version, known.proof.renewed_version
         )
         try:
-            is_newest = self._apply_heartbeat(heartbeat)
+            is_newest = self._status_handler.apply(heartbeat)
         except StaleTokenError as error:
-            self._election.step_down(str(error))
+            self._context.leadership.step_down(str(error))
             return None
-        machine = self.worker_registry.machines[heartbeat.machine]
+        machine = self._worker_registry.machines[heartbeat.machine]
         if not is_copy:
-            machine.contact.last_heartbeat_at = self.now
-            if self.relay_pool is not None and (other_node := self.relay_pool.assign_relay(machine, relay)) is not None:
-                return wm.Redirect(other_node)
-        return wm.HeartbeatResponse(self.token, commands_for(machine, self.job_table) if is_newest else [])
+            machine.contact.last_heartbeat_at = self._context.now
+            if self._relay_pool is not None and (node := self._relay_pool.assign_relay(machine, relay)) is not None:
+                return Redirect(node)
+        return HeartbeatResponse(token, commands_for(machine, self._job_table) if is_newest else [])
 
-    def is_settled(self, heartbeat: wm.Heartbeat) -> bool:
-        """Whether the same report again would be answered with no command, and would tell nothing new."""
-        machine = self.worker_registry.machines.get(heartbeat.machine)
+    def is_settled(self, heartbeat: Heartbeat) -> bool:
+        """Whether the same heartbeat again would be answered with no command, and would tell nothing new."""
+        machine = self._worker_registry.machines.get(heartbeat.machine)
         return (
             machine is not None
-            and heartbeat.token == self.token
+            and heartbeat.token == self._context.token
             and heartbeat.version == machine.proof.heartbeat_version
             and machine.proof.reconciled_tasks is not None
             and not machine.reported.stale
             and not machine.reported.orphaned
-            and all(task.state is not wm.TaskState.EXITED for task in heartbeat.tasks)
+            and all(task.state is not TaskState.EXITED for task in heartbeat.tasks)
             and all(placement.stop_requested_at is None for placement in machine.placements.values())
         )
 
-    def _on_command_response(self, heartbeat: wm.Heartbeat) -> None:
-        if self._stopped or heartbeat.machine not in self.worker_registry.machines:
+    def on_command_response(self, heartbeat: Heartbeat) -> None:
+        """Take in the status in a worker's answer to commands."""
+        if self._lifecycle.is_stopped or heartbeat.machine not in self._worker_registry.machines:
             return
         try:
-            self._apply_heartbeat(heartbeat)
+            self._status_handler.apply(heartbeat)
         except StaleTokenError as error:
-            self._election.step_down(str(error))
-
-    def _apply_heartbeat(self, heartbeat: wm.Heartbeat) -> bool:
-        machine = self.add_machine(
-            heartbeat.machine, MachineKind(heartbeat.machine_type, heartbeat.zone, heartbeat.spot)
-        )
-        is_first = not machine.is_up
-        previous_addr = machine.address
-        was_confirmed = machine.proof.has_confirmed_token
-        previous_reclaim_at = machine.reclaim_at
-        previous_incarnation = machine.proof.heartbeat_version.incarnation
-        if (
-            machine.is_up
-            and self.scheduling_view.is_silent(machine)
-            and heartbeat.version > machine.proof.heartbeat_version
-        ):
-            machine.contact.silence_ended_at = self.now
-        outcomes = self.worker_registry.apply_heartbeat(machine, heartbeat, self.now)
-        if outcomes is not None and (machine.reported.stale or machine.reported.exited):
-            if self._is_recovery_unsettled():
-                self._adopt_orphans(machine)
-            else:
-                self._detect_lost_records(machine)
-        if machine.proof.has_confirmed_token and not was_confirmed:
-            self._on_machine_verified(machine.id)
-        if machine.address != previous_addr or not machine.is_stored:
-            self.store_machine(machine)
-        if is_first and machine.is_up and previous_addr is None:
-            self.autoscaler.on_machine_up(machine)
-        if is_first and machine.is_up:
-            log.info("machine %s (%s) reports first", machine.id, machine.kind.type)
-        if machine.proof.heartbeat_version.incarnation > previous_incarnation > 0:
-            log.info("machine %s began session %d", machine.id, machine.proof.heartbeat_version.incarnation)
-        if machine.reclaim_at is not None and previous_reclaim_at is None:
-            log.info("machine %s is taken back in %.0f s", machine.id, machine.reclaim_at - self.now)
-        for outcome in outcomes or ():
-            self._apply_outcome(machine, outcome)
-        if machine.proof.has_confirmed_token and not was_confirmed and self._awaited_answers > 0:
-            self._awaited_answers -= 1
-            if not self._awaited_answers:
-                self._log_milestone("nine of ten machines answered")
-                if self._active_write_back is None and self._unverified_machines:
-                    # After a cold start that is enough: a store that lost its last seconds would have shown by now.
-                    self._unverified_machines.clear()
-                    self.schedule_pass()
-        if outcomes or (machine.proof.has_confirmed_token and not was_confirmed):
-            self.schedule_pass()
-        return outcomes is not None
-
-    def _apply_outcome(self, machine: Machine, outcome: TaskOutcome) -> None:
-        placement = outcome.placement
-        job = self.job_table.jobs.get(placement.task.job)
-        if job is None:
-            self.worker_registry.machines[machine.id].placements.pop(placement.task, None)
-            return
-        now = self.now
-        if outcome.change is TaskChange.RUNNING:
-            machine.images.record(job.spec.image)
-            log.debug("task %s runs on %s after %.2f s", placement.task, machine.id, now - placement.placed_at)
-            return
-        if outcome.change is TaskChange.WAITING:
-            machine.images.record(job.spec.image)
-            return
-        self.worker_registry.unassign(placement, job.spec, now)
-        if outcome.change is TaskChange.DONE:
-            if placement.running_at is not None:
-                log.debug("task %s done on %s after %.2f s", placement.task, machine.id, now - placement.running_at)
-            run_site = Where(
-                machine.id,
-                machine.kind.type,
-                not self.health.is_quarantined(machine.id),
-                machine.contact.silence_ended_at,
-            )
-            self._samples.done(job, placement, run_site, now)
-            machine.images.record(job.spec.image)
-            self.job_table.complete_task(placement)
-            self._decommission(self.health.record_success(job, machine.id), UNHEALTHY_REASON)
-        else:
-            log.info(
-                "task %s attempt %d gone from %s: %s",
-                placement.task,
-                placement.attempt,
-                machine.id,
-                outcome.exit_reason,
-            )
-            self._samples.gone(job, placement, outcome.has_saved_progress, None, now)
-            self.job_table.release(placement)
-            job.last_loss_at = now
-            if outcome.exit_reason in (wm.EXIT_ERROR, wm.EXIT_UNKNOWN_JOB) and job.cancelled_at is None:
-                self._decommission(self.health.record_failure(job, placement, now), UNHEALTHY_REASON)
-            elif outcome.exit_reason == wm.EXIT_NO_ROOM:
-                job.paused_until = Instant(now + 0.5)
-        self._after_release(job)
-
-    def _after_release(self, job: Job) -> None:
-        if job.is_gang and not job.placements:
-            job.gang_attempt = None
-        if not self.job_writer.enqueue_end_if_due(job):
-            self.job_writer.enqueue_dirty_chunks()
-
-    def stop_task(self, placement: Placement, grace_s: Seconds) -> None:
-        if placement.stop_requested_at is None or grace_s < placement.grace_s:
-            placement.stop_requested_at = self.now
-            placement.grace_s = grace_s
-            # Repeated with each answer to a report, so a relay must not answer the next one by itself.
-            self.worker_registry.machines[placement.machine].proof.reconciled_tasks = None
-            self.dispatcher.enqueue_stop(placement)
-
-    def _evict_reclaimed(self) -> None:
-        for machine in self.worker_registry.machines.values():
-            if (
-                machine.reclaim_at is None
-                or machine.decommission_reason is not None
-                or not machine.proof.has_confirmed_token
-            ):
-                continue
-            if not machine.placements:
-                self.autoscaler.decommission(machine, "to be taken back, and empty")
-            for placement, grace in plan_reclaim_evictions(machine, self.job_table, self.runs, self.now):
-                self.stop_task(placement, grace)
+            self._context.leadership.step_down(str(error))
--- /dev/null
+++ b/meadowcross/leadership/maintenance_loop.py
@@ -0,0 +1,183 @@
+"""What a leader looks at twice a second, beside events."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, cast
+
+from twisted.internet.interfaces import IReactorTime
+from twisted.internet.task import LoopingCall
+
+from meadowcross.autoscaling.autoscaler import Autoscaler
+from meadowcross.common.logging import get_logger
+from meadowcross.common.types import Seconds
+from meadowcross.estimates.samples import Samples
+from meadowcross.leadership.cancellation_tracker import CancellationTracker
+from meadowcross.leadership.machine_records import MachineDecommissioner
+from meadowcross.leadership.pass_trigger import PassTrigger
+from meadowcross.leadership.placement_writer import PlacementWriter
+from meadowcross.leadership.reconciler import Reconciler
+from meadowcross.leadership.run_time_estimators import RunTimeEstimators
+from meadowcross.leadership.scheduling_loop import SchedulingLoop
+from meadowcross.leadership.scheduling_view import SchedulingView
+from meadowcross.leadership.task_outcomes import UNHEALTHY_REASON
+from meadowcross.leadership.term_context import TermState
+from meadowcross.workers.eviction import plan_reclaim_evictions
+from meadowcross.workers.health import FailureTracker
+
+if TYPE_CHECKING:
+    from meadowcross.leadership.completion_forecaster import CompletionForecaster
+
+log = get_logger("leadership")
+
+TICK_S: Seconds = 0.5
+SUSPENSION_THRESHOLD_S: Seconds = 2.0
+"""Ticks further apart than this show that the process itself was suspended between them."""
+RUN_SAMPLING_PERIOD_S: Seconds = 4.0
+
+
+class EvictionPlanner:
+    """Empties machines that the cloud is about to take back."""
+
+    def __init__(
+        self,
+        state: TermState,
+        placement_writer: PlacementWriter,
+        autoscaler: Autoscaler,
+        estimators: RunTimeEstimators,
+    ) -> None:
+        self._context = state.context
+        self._job_table = state.job_table
+        self._worker_registry = state.worker_registry
+        self._placement_writer = placement_writer
+        self._autoscaler = autoscaler
+        self._runs = estimators.runs
+
+    def evict_reclaimed(self) -> None:
+        """Stop tasks that must leave now, and give back machines that are empty."""
+        for machine in self._worker_registry.machines.values():
+            if (
+                machine.reclaim_at is None
+                or machine.decommission_reason is not None
+                or not machine.proof.has_confirmed_token
+            ):
+                continue
+            if not machine.placements:
+                self._autoscaler.decommission(machine, "to be taken back, and empty")
+            evictions = plan_reclaim_evictions(machine, self._job_table, self._runs, self._context.now)
+            for placement, grace_s in evictions:
+                self._placement_writer.stop_task(placement, grace_s)
+
+
+class LeadershipTransfer:
+    """Hands the leadership over where another node is reached by more workers."""
+
+    def __init__(
+        self, state: TermState, scheduling_view: SchedulingView, best_peer_reach: Callable[[], int | None]
+    ) -> None:
+        """`best_peer_reach`: how many workers report to the peer that is reached by most, if any peer tells."""
+        self._context = state.context
+        self._scheduling_view = scheduling_view
+        self._best_peer_reach = best_peer_reach
+
+    def transfer_if_better_reached(self) -> None:
+        """Answers to commands renew no lease, so only heartbeats tell whether workers reach this node. A new leader
+        waits until its workers can have found it."""
+        context = self._context
+        if context.now - context.started_at < context.settings.facts.workers.lease_s / 2:
+            return
+        reach = self._scheduling_view.measure_reach(self._best_peer_reach())
+        if reach.is_better_elsewhere:
+            context.leadership.begin_transfer(
+                f"{reach.reporting_machines} of {reach.known_machines} machines report, "
+                f"a peer hears {reach.most_heard_by_peer}"
+            )
+
+
+class RunSampler:
+    """Shows running tasks to the estimators, and records forecasts that are later compared with what came."""
+
+    def __init__(self, state: TermState, samples: Samples, forecaster: CompletionForecaster | None) -> None:
+        self._context = state.context
+        self._job_table = state.job_table
+        self._samples = samples
+        self._forecaster = forecaster
+        self._sampled_at = state.context.now
+
+    def sample_if_due(self) -> None:
+        """Sample, but not more often than every `RUN_SAMPLING_PERIOD_S`."""
+        now = self._context.now
+        if now - self._sampled_at < RUN_SAMPLING_PERIOD_S:
+            return
+        self._sampled_at = now
+        if self._forecaster is not None:
+            self._samples.watch(self._job_table, now)
+            self._forecaster.record_forecasts()
+
+
+@dataclass(frozen=True, slots=True)
+class MaintenanceTasks:
+    """The components that are looked after at each tick, in this order."""
+
+    transfer: LeadershipTransfer
+    health: FailureTracker
+    decommissioner: MachineDecommissioner
+    cancellation_tracker: CancellationTracker
+    evictions: EvictionPlanner
+    reconciler: Reconciler
+    run_sampler: RunSampler
+    scheduling_loop: SchedulingLoop
+
+
+class MaintenanceLoop:
+    """Ticks from the time on that the state is loaded."""
+
+    def __init__(
+        self, state: TermState, scheduling_view: SchedulingView, tasks: MaintenanceTasks, pass_trigger: PassTrigger
+    ) -> None:
+        self._context = state.context
+        self._scheduling_view = scheduling_view
+        self._tasks = tasks
+        self._pass_trigger = pass_trigger
+        self._last_tick_at = self._descheduled_at = state.context.now
+        self._ticker = LoopingCall(self.tick)
+        self._ticker.clock = cast(IReactorTime, state.context.clock)
+
+    def start(self) -> None:
+        """Tick now, and every `TICK_S` from now on."""
+        self._ticker.start(TICK_S)
+
+    def stop(self) -> None:
+        """Tick no more."""
+        if self._ticker.running:
+            self._ticker.stop()
+
+    def tick(self) -> None:
+        """Look after all that no event tells of."""
+        was_suspended = self._context.now - self._last_tick_at > SUSPENSION_THRESHOLD_S
+        self._last_tick_at = self._context.now
+        if was_suspended:
+            # Nothing was heard while the process was suspended, whoever spoke; and whether this node still leads is
+            # asked before anything else rests on it.
+            log.info("this process was silent for a while")
+            self._scheduling_view.on_resume()
+            return
+        try:
+            self._run_tasks()
+        except Exception:
+            # The next tick comes all the same.
+            log.exception("tick failed")
+
+    def _run_tasks(self) -> None:
+        tasks = self._tasks
+        tasks.transfer.transfer_if_better_reached()
+        tasks.decommissioner.decommission(tasks.health.find_faulty_machines(self._context.now), UNHEALTHY_REASON)
+        tasks.cancellation_tracker.retry()
+        tasks.evictions.evict_reclaimed()
+        tasks.reconciler.settle_orphaned_jobs()
+        tasks.run_sampler.sample_if_due()
+        if self._context.now - self._descheduled_at >= self._context.operator.move_period_s:
+            self._descheduled_at = self._context.now
+            tasks.scheduling_loop.deschedule_replicas()
+        self._pass_trigger.schedule_pass()
--- /dev/null
+++ b/meadowcross/leadership/pass_trigger.py
@@ -0,0 +1,34 @@
+"""Requests for placement passes, which are delayed and merged into one."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from meadowcross.common.types import Seconds
+from meadowcross.leadership.term_context import TermContext, TermLifecycle
+
+MIN_PASS_DELAY_S: Seconds = 0.02
+PASS_PAUSE_RATIO = 5.0
+"""The pause before a pass, as a multiple of what the last pass took: heartbeats and users are served in between."""
+
+
+class PassTrigger:
+    """Runs a pass soon after it was asked for. Components ask here, so that none of them needs the scheduling loop."""
+
+    def __init__(self, context: TermContext, lifecycle: TermLifecycle) -> None:
+        self._clock = context.clock
+        self._lifecycle = lifecycle
+        self._run_pass: Callable[[], None] = lambda: None
+        self.is_scheduled = False
+        """Whether a pass is due; further requests change nothing until it has begun."""
+        self.last_pass_s: Seconds = 0.0
+
+    def set_runner(self, run_pass: Callable[[], None]) -> None:
+        """Set what runs a pass; it resets `is_scheduled` and sets `last_pass_s`."""
+        self._run_pass = run_pass
+
+    def schedule_pass(self) -> None:
+        """Run a pass after a short delay, unless one is due already or the term is not active."""
+        if not self.is_scheduled and not self._lifecycle.is_stopped and self._lifecycle.is_loaded:
+            self.is_scheduled = True
+            self._clock.callLater(max(MIN_PASS_DELAY_S, PASS_PAUSE_RATIO * self.last_pass_s), self._run_pass)
--- /dev/null
+++ b/meadowcross/leadership/scheduling_loop.py
@@ -0,0 +1,129 @@
+"""Placement passes: what waits is placed, and lower priority makes room for it."""
+
+from __future__ import annotations
+
+from meadowcross.common.logging import get_logger
+from meadowcross.common.types import Attempt, Instant, JobId, Seconds
+from meadowcross.jobs.job_table import Placement
+from meadowcross.leadership.machine_verification import MachineVerification
+from meadowcross.leadership.pass_trigger import PassTrigger
+from meadowcross.leadership.placement_writer import PlacementWriter
+from meadowcross.leadership.scheduling_view import SchedulingView
+from meadowcross.leadership.term_context import TermState
+from meadowcross.placement.descheduler import select_replicas_to_move
+from meadowcross.placement.engine import place
+from meadowcross.placement.model import Decision, PendingJob, QuotaHeadroom
+from meadowcross.placement.preemption import Preemption, PreemptionPlanner
+from meadowcross.store.client import StoreClient
+
+log = get_logger("leadership")
+
+WARM_RETRY_S: Seconds = 0.1
+"""Jobs that wait for a machine with their image are looked at again after this time: soon any room is good enough."""
+STORE_FAILURE_TOLERANCE_S: Seconds = 1.0
+"""Nothing is placed once the store has failed for longer: placements could not be stored."""
+
+
+class SchedulingLoop:
+    """Runs placement passes, and moves replicas to better machines."""
+
+    def __init__(
+        self,
+        state: TermState,
+        store: StoreClient,
+        scheduling_view: SchedulingView,
+        preemption: PreemptionPlanner,
+        placement_writer: PlacementWriter,
+        verification: MachineVerification,
+        pass_trigger: PassTrigger,
+    ) -> None:
+        self._state = state
+        self._context = state.context
+        self._lifecycle = state.lifecycle
+        self._job_table = state.job_table
+        self._worker_registry = state.worker_registry
+        self._store = store
+        self._scheduling_view = scheduling_view
+        self._preemption = preemption
+        self._placement_writer = placement_writer
+        self._verification = verification
+        self._pass_trigger = pass_trigger
+
+    def run_pass(self) -> None:
+        """Place what can be placed now, and store what changed."""
+        self._pass_trigger.is_scheduled = False
+        if self._lifecycle.is_stopped or not self._context.list_machine_types() or self._is_store_failing():
+            return
+        started_at = self._context.now
+        if self._verification.is_state_complete():
+            pending_jobs = self._scheduling_view.pending_jobs()
+            if pending_jobs:
+                self._place(pending_jobs, started_at)
+        self._placement_writer.job_writer.enqueue_dirty_chunks()
+        self._pass_trigger.last_pass_s = self._context.now - started_at
+
+    def _is_store_failing(self) -> bool:
+        failing_since = self._store.failing_since
+        return failing_since is not None and self._context.now - failing_since > STORE_FAILURE_TOLERANCE_S
+
+    def _place(self, pending_jobs: list[PendingJob], started_at: Instant) -> None:
+        headroom_by_team = self._scheduling_view.quota_headroom()
+        decisions = place(
+            self._scheduling_view.candidates(),
+            pending_jobs,
+            headroom_by_team,
+            self._context.operator,
+            self._preemption.reservations,
+        )
+        self.apply_decisions(decisions)
+        placed_counts = {decision.job_id: len(decision.machines) for decision in decisions}
+        for job_id, victims in self._plan_preemption(pending_jobs, placed_counts, headroom_by_team, started_at):
+            log.info("job %s: %d tasks give way", job_id, len(victims))
+            for victim in victims:
+                if isinstance(victim.task_key, Placement):
+                    self._placement_writer.stop_task(victim.task_key, victim.grace_s)
+        if any(pending_job.requires_cached_image for pending_job in pending_jobs):
+            self._context.clock.callLater(WARM_RETRY_S, self._pass_trigger.schedule_pass)
+
+    def apply_decisions(self, decisions: list[Decision]) -> None:
+        """Record placements, which are stored before they are started."""
+        now = self._context.now
+        for decision in decisions:
+            job = self._job_table.jobs[decision.job_id]
+            if job.is_gang and job.gang_attempt is None:
+                job.gang_attempt = Attempt(max(job.attempts) + 1)
+            for machine_id in decision.machines:
+                placement = self._job_table.place(job, job.pop_waiting_task(), machine_id, now)
+                self._worker_registry.assign(self._worker_registry.machines[machine_id], placement, job.spec)
+
+    def _plan_preemption(
+        self,
+        pending_jobs: list[PendingJob],
+        placed_counts: dict[JobId, int],
+        headroom_by_team: dict[str, QuotaHeadroom],
+        started_at: Instant,
+    ) -> list[Preemption]:
+        return self._preemption.plan(
+            pending_jobs,
+            placed_counts,
+            headroom_by_team,
+            self._scheduling_view,
+            self._state.is_current_placement,
+            started_at,
+        )
+
+    def deschedule_replicas(self) -> None:
+        """Stop replicas of services that would run better elsewhere."""
+        view = self._scheduling_view
+        replicas = view.movable_replicas()
+        if not replicas:
+            return
+        for replica in select_replicas_to_move(
+            view.all_candidates(), replicas, view.cpu_utilization(), self._context.operator
+        ):
+            placement = replica.key
+            if isinstance(placement, Placement):
+                # It waits again, and the score places it, once this copy is proven gone.
+                log.info("task %s moves off %s", placement.task, placement.machine)
+                spec = self._job_table.jobs[placement.task.job].spec
+                self._placement_writer.stop_task(placement, spec.checkpoint_save_s)
--- /dev/null
+++ b/meadowcross/leadership/task_outcomes.py
@@ -0,0 +1,90 @@
+"""Acts on what a heartbeat proved of placements."""
+
+from __future__ import annotations
+
+from meadowcross.common.logging import get_logger
+from meadowcross.common.types import Instant, Seconds
+from meadowcross.estimates.samples import Samples, Where
+from meadowcross.jobs.job_table import Job, Placement
+from meadowcross.leadership.machine_records import MachineDecommissioner
+from meadowcross.leadership.placement_writer import PlacementWriter
+from meadowcross.leadership.term_context import TermState
+from meadowcross.workers.health import FailureTracker
+from meadowcross.workers.machine import Machine
+from meadowcross.workers.messages import EXIT_ERROR, EXIT_NO_ROOM, EXIT_UNKNOWN_JOB
+from meadowcross.workers.registry import TaskChange, TaskOutcome
+
+log = get_logger("leadership")
+
+UNHEALTHY_REASON = "it failed what fares well elsewhere"
+NO_ROOM_PAUSE_S: Seconds = 0.5
+"""For so long nothing of a job is placed after a machine had no room for it."""
+
+
+class TaskOutcomeHandler:
+    """Completes and releases placements, and learns from how they ended."""
+
+    def __init__(
+        self,
+        state: TermState,
+        placement_writer: PlacementWriter,
+        health: FailureTracker,
+        samples: Samples,
+        decommissioner: MachineDecommissioner,
+    ) -> None:
+        self._context = state.context
+        self._job_table = state.job_table
+        self._worker_registry = state.worker_registry
+        self._placement_writer = placement_writer
+        self._health = health
+        self._samples = samples
+        self._decommissioner = decommissioner
+
+    def apply(self, machine: Machine, outcome: TaskOutcome) -> None:
+        """Take in what the machine's newest status proved of one placement."""
+        placement = outcome.placement
+        job = self._job_table.jobs.get(placement.task.job)
+        if job is None:
+            self._worker_registry.machines[machine.id].placements.pop(placement.task, None)
+            return
+        if outcome.change is TaskChange.RUNNING:
+            machine.images.record(job.spec.image)
+            log.debug(
+                "task %s runs on %s after %.2f s",
+                placement.task,
+                machine.id,
+                self._context.now - placement.placed_at,
+            )
+        elif outcome.change is TaskChange.WAITING:
+            machine.images.record(job.spec.image)
+        else:
+            self._worker_registry.unassign(placement, job.spec, self._context.now)
+            if outcome.change is TaskChange.DONE:
+                self._complete(machine, job, placement)
+            else:
+                self._release(machine, job, outcome)
+            self._placement_writer.after_release(job)
+
+    def _complete(self, machine: Machine, job: Job, placement: Placement) -> None:
+        now = self._context.now
+        if placement.running_at is not None:
+            log.debug("task %s done on %s after %.2f s", placement.task, machine.id, now - placement.running_at)
+        is_healthy = not self._health.is_quarantined(machine.id)
+        where = Where(machine.id, machine.kind.type, is_healthy, machine.contact.silence_ended_at)
+        self._samples.done(job, placement, where, now)
+        machine.images.record(job.spec.image)
+        self._job_table.complete_task(placement)
+        self._decommissioner.decommission(self._health.record_success(job, machine.id), UNHEALTHY_REASON)
+
+    def _release(self, machine: Machine, job: Job, outcome: TaskOutcome) -> None:
+        placement, now = outcome.placement, self._context.now
+        log.info(
+            "task %s attempt %d gone from %s: %s", placement.task, placement.attempt, machine.id, outcome.exit_reason
+        )
+        self._samples.gone(job, placement, outcome.has_saved_progress, None, now)
+        self._job_table.release(placement)
+        job.last_loss_at = now
+        if outcome.exit_reason in (EXIT_ERROR, EXIT_UNKNOWN_JOB) and job.cancelled_at is None:
+            self._decommissioner.decommission(self._health.record_failure(job, placement, now), UNHEALTHY_REASON)
+        elif outcome.exit_reason == EXIT_NO_ROOM:
+            job.paused_until = Instant(now + NO_ROOM_PAUSE_S)
--- a/meadowcross/leadership/term.py
+++ b/meadowcross/leadership/term.py
@@ -1,152 +1,459 @@
-"""A leader's term: rebuild the picture, take reports, place, commit, command.
+"""A leader's term: builds its components, starts them, and ends them.
 
 Everything here is thrown away when the term ends; only the store is kept.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
 from twisted.internet.defer import Deferred
 
+from meadowcross.autoscaling.autoscaler import Autoscaler
+from meadowcross.autoscaling.cloud import CloudClient
+from meadowcross.autoscaling.messages import MachineType
+from meadowcross.common.clock import Clock, pause
+from meadowcross.common.http import HttpClient
 from meadowcross.common.logging import get_logger
-from meadowcross.common.types import (
-    Attempt,
-    Seconds,
-)
-from meadowcross.jobs.job_table import Placement
+from meadowcross.common.settings import OperatorSettings, Settings
+from meadowcross.common.types import FencingToken, Instant, JobId, NodeName, Revision, Seconds, revision_of
+from meadowcross.jobs.job_table import JobTable
+from meadowcross.leadership.autoscaler_host import MachineRemoval, TermAutoscalerHost
 from meadowcross.leadership.cancellation_tracker import CancellationTracker
-from meadowcross.leadership.heartbeat_handler import UNHEALTHY_REASON, HeartbeatHandler
-from meadowcross.leadership.placement_writer import PlacementWriter
-from meadowcross.leadership.reconciler import Reconciler
-from meadowcross.leadership.state_loader import StateLoader
-from meadowcross.placement.descheduler import select_replicas_to_move
-from meadowcross.placement.engine import place
-from meadowcross.placement.model import Decision
+from meadowcross.leadership.commit_outcome import CommitOutcome
+from meadowcross.leadership.ended_jobs import EndedJobs
+from meadowcross.leadership.heartbeat_handler import CancellationsBeforeLoad, HeartbeatHandler
+from meadowcross.leadership.hint_exchange import HintExchange, HintSources
+from meadowcross.leadership.job_records import JobRecords, JobWatch
+from meadowcross.leadership.machine_records import MachineDecommissioner, MachineRecords
+from meadowcross.leadership.machine_status import MachineStatusHandler, StatusCollaborators
+from meadowcross.leadership.machine_verification import MachineVerification
+from meadowcross.leadership.maintenance_loop import (
+    EvictionPlanner,
+    LeadershipTransfer,
+    MaintenanceLoop,
+    MaintenanceTasks,
+    RunSampler,
+)
+from meadowcross.leadership.messages import LEADER_KEY, CancellationNotice
+from meadowcross.leadership.pass_trigger import PassTrigger
+from meadowcross.leadership.placement_writer import CommandTransport, PlacementWriter
+from meadowcross.leadership.reconciler import LOST_ATTEMPTS_MARGIN, Reconciler
+from meadowcross.leadership.replica_check import verify_replica
+from meadowcross.leadership.run_time_estimators import build_estimators
+from meadowcross.leadership.scheduling_loop import SchedulingLoop
+from meadowcross.leadership.scheduling_view import SchedulingView
+from meadowcross.leadership.state_loader import StateLoader, StateReader
+from meadowcross.leadership.task_outcomes import TaskOutcomeHandler
+from meadowcross.leadership.term_context import Leadership, TermContext, TermLifecycle, TermState
+from meadowcross.leadership.term_recovery import TermRecovery
+from meadowcross.placement.preemption import PreemptionPlanner
+from meadowcross.recovery.collect import StateRecovery
+from meadowcross.recovery.merge import MergedState
+from meadowcross.relay.pool import RelayPool, direct_sender
+from meadowcross.replication.follower import ReplicaFollower
+from meadowcross.replication.messages import Hints
+from meadowcross.store.client import (
+    IndeterminateResultError,
+    RequestRejectedError,
+    StoreClient,
+    StoreUnavailableError,
+)
+from meadowcross.store.group_commit import GroupCommitter
+from meadowcross.store.messages import Condition
+from meadowcross.workers.health import FailureTracker
+from meadowcross.workers.messages import Heartbeat, HeartbeatResponse, Redirect
+from meadowcross.workers.registry import WorkerRegistry
+
+if TYPE_CHECKING:
+    from meadowcross.estimates.finish import Ends
+    from meadowcross.leadership.completion_forecaster import CompletionForecaster
 
 log = get_logger("leadership")
 
-SUSPENSION_THRESHOLD_S: Seconds = 2.0
-"""Ticks this far apart tell that the process itself was silent between them."""
-MIN_PASS_DELAY_S: Seconds = 0.02
-PASS_PAUSE_RATIO = 5.0
-WARM_RETRY_S: Seconds = 0.1
-RUN_SAMPLING_PERIOD_S: Seconds = 4.0
+LOAD_RETRY_S: Seconds = 0.3
+ESTIMATES_DELAY_S: Seconds = 3.0
+"""The first seconds of a term belong to the workers, the first placements and the users."""
+
+
+class LeaderTerm:
+    """One term of one leader."""
+
+    def __init__(
+        self,
+        reactor: Any,
+        settings: Settings,
+        operator: OperatorSettings,
+        store: StoreClient,
+        http: HttpClient,
+        cloud: CloudClient,
+        machine_types: Callable[[], list[MachineType]],
+        token: FencingToken,
+        election: Leadership,
+        best_peer_reach: Callable[[], int | None],
+        follower: ReplicaFollower | None = None,
+        hints: Hints | None = None,
+        recovery: StateRecovery | None = None,
+        is_cold_start: bool = False,
+        is_cancel_announced: Callable[[JobId], bool] = lambda _job: False,
+        relay_pool: RelayPool | None = None,
+    ) -> None:
+        """`is_cold_start`: no node knows what was before, so only the machines can tell whether the store still does.
+        `is_cancel_announced`: whether a peer has said that a job's cancel is stored. `relay_pool`: who answers workers
+        for this leader."""
+        self.token = token
+        self.relay_pool = relay_pool
+        self.hints = hints
+        self._store = store
+        self._follower = follower
+        self._is_cold_start = is_cold_start
+        clock: Clock = reactor
+        self.context = TermContext(
+            clock,
+            token,
+            settings,
+            operator,
+            election,
+            machine_types,
+            Condition(LEADER_KEY, revision_of(token)),
+            Instant(clock.seconds()),
+        )
+        self.lifecycle = TermLifecycle(self.context)
+        self.job_table = JobTable()
+        self.worker_registry = WorkerRegistry(token)
+        if relay_pool is not None:
+            relay_pool.set_registry(self.worker_registry)
+        self.state = TermState(self.context, self.lifecycle, self.job_table, self.worker_registry)
+        self.pass_trigger = PassTrigger(self.context, self.lifecycle)
+        self.recovery = TermRecovery(recovery)
+        self._build_storage()
+        self._build_placement(http)
+        self._build_autoscaling(cloud)
+        self._build_reconciliation()
+        self._build_heartbeats(is_cancel_announced)
+        self._build_loading()
+        self._build_loops(best_peer_reach)
+
+    def _build_storage(self) -> None:
+        self.ended_jobs = EndedJobs(self._follower)
+        self.commit_outcome = CommitOutcome(self.state, self._store, self._follower, self.ended_jobs, self.recovery)
+        self.group_committer = GroupCommitter(
+            self.context.clock,
+            self._store,
+            self.context.leader_condition,
+            self.commit_outcome.reread_keys,
+            self.commit_outcome.on_written,
+        )
+        self.estimators = build_estimators(self.context, self._store, self.commit_outcome.reread_keys)
+
+    def _build_placement(self, http: HttpClient) -> None:
+        machines = self.worker_registry.machines
+        self.health = FailureTracker(lambda machine_id: machine_id in machines)
+        self.scheduling_view = SchedulingView(
+            self.context.clock,
+            self.context.settings.facts,
+            self.context.list_machine_types,
+            self.job_table,
+            self.worker_registry,
+            self.health,
+            self.estimators.runs,
+        )
+        self.preemption = PreemptionPlanner(self.context.operator)
+        self.verification = MachineVerification(self.state, self.recovery, self.pass_trigger)
+        relay_pool = self.relay_pool
+        self.placement_writer = PlacementWriter(
+            self.state,
+            self.group_committer,
+            self._store.max_changes,
+            CommandTransport(
+                relay_pool.send_commands if relay_pool is not None else direct_sender(http),
+                lambda: 1 + (relay_pool.relay_count if relay_pool is not None else 0),
+            ),
+            self.pass_trigger,
+        )
+        self.machine_records = MachineRecords(self.state, self.group_committer, self.pass_trigger)
+
+    def _build_autoscaling(self, cloud: CloudClient) -> None:
+        machine_removal = MachineRemoval(
+            self.state,
+            self.placement_writer,
+            self.verification,
+            self.health,
+            self.estimators.samples,
+            self.relay_pool,
+            self.pass_trigger,
+        )
+        host = TermAutoscalerHost(
+            self.state,
+            self.scheduling_view,
+            self.estimators,
+            self.machine_records,
+            self.placement_writer,
+            self.verification,
+            machine_removal,
+        )
+        context = self.context
+        self.autoscaler = Autoscaler(
+            context.clock, context.settings, context.operator, cloud, context.list_machine_types, host
+        )
+        self.decommissioner = MachineDecommissioner(self.worker_registry, self.autoscaler)
+        self.forecaster = self._build_forecaster()
+
+    def _build_forecaster(self) -> CompletionForecaster | None:
+        if self.estimators.learned is None:
+            return None
+        # Imported by a leader only, where run times are learned: a node that was killed is back sooner without it.
+        from meadowcross.leadership.completion_forecaster import (  # noqa: PLC0415 - start-up time
+            CompletionForecaster,
+        )
+
+        return CompletionForecaster(
+            self.context.clock,
+            self.job_table,
+            self.worker_registry,
+            self.scheduling_view,
+            self.context.list_machine_types,
+            self.autoscaler,
+            self.estimators.learned,
+        )
+
+    def _build_reconciliation(self) -> None:
+        self.cancellation_tracker = CancellationTracker(
+            self.state,
+            self.group_committer,
+            self.placement_writer,
+            self.ended_jobs,
+            self.verification,
+            self.decommissioner,
+            self.pass_trigger,
+        )
+        self.reconciler = Reconciler(
+            self.state, self._store, self.group_committer, self.placement_writer, self.ended_jobs, self.recovery
+        )
+        self.job_records = JobRecords(
+            self.state,
+            self.reconciler,
+            self.cancellation_tracker,
+            self.ended_jobs,
+            self.recovery,
+            self.autoscaler,
+            self.pass_trigger,
+        )
+        self.commit_outcome.set_job_records(self.job_records)
+
+    def _build_heartbeats(self, is_cancel_announced: Callable[[JobId], bool]) -> None:
+        self.task_outcomes = TaskOutcomeHandler(
+            self.state, self.placement_writer, self.health, self.estimators.samples, self.decommissioner
+        )
+        collaborators = StatusCollaborators(
+            self.scheduling_view,
+            self.machine_records,
+            self.verification,
+            self.autoscaler,
+            self.reconciler,
+            self.task_outcomes,
+            self.pass_trigger,
+        )
+        self.heartbeat_handler = HeartbeatHandler(
+            self.state,
+            MachineStatusHandler(self.state, collaborators),
+            self.autoscaler,
+            self.relay_pool,
+            CancellationsBeforeLoad(self._follower, is_cancel_announced),
+        )
+        on_job_ended = [
+            lambda job: self.ended_jobs.add(job.id),
+            self.health.forget_job,
+            lambda job: self.preemption.forget(job.id),
+        ]
+        if self.forecaster is not None:
+            on_job_ended.append(self.forecaster.on_job_ended)
+        if (learned := self.estimators.learned) is not None:
+            on_job_ended.append(lambda job: learned.forget(job.id))
+        self.placement_writer.set_listeners(self.heartbeat_handler.on_command_response, on_job_ended)
+
+    def _build_loading(self) -> None:
+        self.state_reader = StateReader(self.state, self._store, self._follower, self.recovery)
+        self.state_loader = StateLoader(
+            self.state,
+            self.state_reader,
+            self.machine_records,
+            self.job_records,
+            self.placement_writer,
+            self.cancellation_tracker,
+        )
+        self.job_watch = JobWatch(self.state, self._store, self._follower, self.job_records)
+        sources = HintSources(
+            self.scheduling_view,
+            self.autoscaler,
+            self.health,
+            self.preemption,
+            self.estimators,
+            self.group_committer,
+            self.commit_outcome,
+        )
+        self.hint_exchange = HintExchange(self.state, sources)
 
+    def _build_loops(self, best_peer_reach: Callable[[], int | None]) -> None:
+        self.scheduling_loop = SchedulingLoop(
+            self.state,
+            self._store,
+            self.scheduling_view,
+            self.preemption,
+            self.placement_writer,
+            self.verification,
+            self.pass_trigger,
+        )
+        self.pass_trigger.set_runner(self.scheduling_loop.run_pass)
+        tasks = MaintenanceTasks(
+            LeadershipTransfer(self.state, self.scheduling_view, best_peer_reach),
+            self.health,
+            self.decommissioner,
+            self.cancellation_tracker,
+            EvictionPlanner(self.state, self.placement_writer, self.autoscaler, self.estimators),
+            self.reconciler,
+            RunSampler(self.state, self.estimators.samples, self.forecaster),
+            self.scheduling_loop,
+        )
+        self.maintenance_loop = MaintenanceLoop(self.state, self.scheduling_view, tasks, self.pass_trigger)
 
-class LeaderTerm(StateLoader, Reconciler, CancellationTracker, HeartbeatHandler, PlacementWriter):
-    """One term: its life, its ticks and its passes; the other parts are in modules of their own."""
+    @property
+    def loaded(self) -> bool:
+        """Whether the stored state is loaded."""
+        return self.lifecycle.is_loaded
+
+    @property
+    def stopped(self) -> bool:
+        """Whether the term is over."""
+        return self.lifecycle.is_stopped
 
     def start(self) -> None:
-        for coroutine in (self._load_and_watch(), self.group_committer.run()):
+        """Load the state, and go on from there until `stop`."""
+        for coroutine in (self._run(), self.group_committer.run()):
             Deferred.fromCoroutine(coroutine).addErrback(self._on_crash)
 
     def stop(self) -> None:
-        if self._stopped:
+        """End the term; nothing is sent or stored any more."""
+        if self.lifecycle.is_stopped:
             return
-        self._stopped = True
+        self.lifecycle.is_stopped = True
         self.group_committer.stop()
-        if self.estimates is not None:
-            self.estimates.stop()
-        self.dispatcher.stop()
+        if self.estimators.keeper is not None:
+            self.estimators.keeper.stop()
+        self.placement_writer.stop()
         self.autoscaler.stop()
-        if self._ticker.running:
-            self._ticker.stop()
-        if self._active_write_back is not None:
-            self._active_write_back.stop()
+        self.maintenance_loop.stop()
+        self.recovery.stop()
         if self._follower is not None:
             self._follower.end_leading()
 
-    def schedule_pass(self) -> None:
-        if not self._is_pass_scheduled and not self._stopped and self.loaded:
-            self._is_pass_scheduled = True
-            # A pause in proportion: reports and users are served between long passes.
-            self._clock.callLater(max(MIN_PASS_DELAY_S, PASS_PAUSE_RATIO * self._last_pass_s), self._run_pass)
-
-    def _on_tick(self) -> None:
-        was_suspended = self.now - self._last_tick_at > SUSPENSION_THRESHOLD_S
-        self._last_tick_at = self.now
-        if was_suspended:
-            # What passed meanwhile is our own silence, not the machines'; whether we still
-            # lead is asked before anything else rests on it.
-            log.info("this process was silent for a while")
-            self.scheduling_view.on_resume()
-            return
-        try:
-            self._transfer_if_better_reached()
-            self._decommission(self.health.find_faulty_machines(self.now), UNHEALTHY_REASON)
-            self._retry_cancellations()
-            self._evict_reclaimed()
-            self._settle_orphaned_jobs()
-            if self.now - self._runs_sampled_at >= RUN_SAMPLING_PERIOD_S:
-                self._runs_sampled_at = self.now
-                if self._forecaster is not None:
-                    self._samples.watch(self.job_table, self.now)
-                    self._forecaster.record_forecasts()
-            if self.now - self._descheduled_at >= self._operator.move_period_s:
-                self._descheduled_at = self.now
-                self._deschedule_replicas()
-            self.schedule_pass()
-        except Exception:
-            log.exception("tick failed")
-
-    def _transfer_if_better_reached(self) -> None:
-        """Direct answers renew no lease, so only reports tell whether workers reach us. A new
-        leader waits until its workers can have found it."""
-        if self.now - self._started_at < self._settings.facts.workers.lease_s / 2:
-            return
-        reach = self.scheduling_view.measure_reach(self._best_peer_reach())
-        if reach.is_better_elsewhere:
-            self._election.begin_transfer(
-                f"{reach.reporting_machines} of {reach.known_machines} machines report, "
-                f"a peer hears {reach.most_heard_by_peer}"
-            )
-
-    def _deschedule_replicas(self) -> None:
-        replicas = self.scheduling_view.movable_replicas()
-        if not replicas:
-            return
-        for replica in select_replicas_to_move(
-            self.scheduling_view.all_candidates(), replicas, self.scheduling_view.cpu_utilization(), self._operator
-        ):
-            placement = replica.key
-            if isinstance(placement, Placement):
-                # It waits again, and the score places it, once this copy is proven gone.
-                log.info("task %s moves off %s", placement.task, placement.machine)
-                self.stop_task(placement, self.job_table.jobs[placement.task.job].spec.checkpoint_save_s)
-
-    def _run_pass(self) -> None:
-        self._is_pass_scheduled = False
-        if self._stopped or not self._machine_types():
-            return
-        if self._store.failing_since is not None and self.now - self._store.failing_since > 1.0:
+    def _on_crash(self, failure: Any) -> None:
+        log.error("term %d failed: %s", self.token, failure.getTraceback())
+        self.context.leadership.step_down("internal error")
+
+    async def _run(self) -> None:
+        revision = await self._load()
+        if self.lifecycle.is_stopped or revision is None:
             return
-        started_at = self.now
-        pending_jobs = self.scheduling_view.pending_jobs() if self._is_state_complete() else []
-        if pending_jobs:
-            headroom = self.scheduling_view.quota_headroom()
-            decisions = place(
-                self.scheduling_view.candidates(), pending_jobs, headroom, self._operator, self._preemption.reservations
-            )
-            self._apply_decisions(decisions)
-            placed_counts = {decision.job_id: len(decision.machines) for decision in decisions}
-            for job, victims in self._preemption.plan(
-                pending_jobs, placed_counts, headroom, self.scheduling_view, self._is_current_placement, started_at
-            ):
-                log.info("job %s: %d tasks give way", job, len(victims))
-                for victim in victims:
-                    if isinstance(victim.task_key, Placement):
-                        self.stop_task(victim.task_key, victim.grace_s)
-            if any(pending_job.requires_cached_image for pending_job in pending_jobs):
-                # Soon free room without their image is good enough for them.
-                self._clock.callLater(WARM_RETRY_S, self.schedule_pass)
-        self.job_writer.enqueue_dirty_chunks()
-        self._last_pass_s = self.now - started_at
-
-    def _apply_decisions(self, decisions: list[Decision]) -> None:
-        now = self.now
-        for decision in decisions:
-            job = self.job_table.jobs[decision.job_id]
-            if job.is_gang and job.gang_attempt is None:
-                job.gang_attempt = Attempt(max(job.attempts) + 1)
-            for machine_id in decision.machines:
-                placement = self.job_table.place(job, job.pop_waiting_task(), machine_id, now)
-                self.worker_registry.assign(self.worker_registry.machines[machine_id], placement, job.spec)
+        if self.hints is not None:
+            self.hint_exchange.apply(self.hints)
+        self.lifecycle.is_loaded = True
+        self._begin_verification()
+        self._log_loaded()
+        self._probe_machines()
+        self.autoscaler.start()
+        self.maintenance_loop.start()
+        if self.state_reader.was_replica_followed and self._follower is not None:
+            Deferred.fromCoroutine(verify_replica(self.state, self._store, self._follower))
+        if self.estimators.keeper is not None:
+            self.context.clock.callLater(ESTIMATES_DELAY_S, self.estimators.keeper.start)
+        await self.job_watch.run(revision)
+
+    async def _load(self) -> Revision | None:
+        while not self.lifecycle.is_stopped:
+            try:
+                return await self.state_loader.load()
+            except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
+                log.info("loading waits: %s", error)
+                await pause(self.context.clock, LOAD_RETRY_S)
+        return None
+
+    def _begin_verification(self) -> None:
+        """Find out what runs that no record tells of, where records may be lost."""
+        merged = self.state_reader.merged_state
+        machines = self.worker_registry.machines.values()
+        if merged is not None:
+            self._begin_write_back(merged)
+        elif self._is_cold_start and self.recovery.collector is not None:
+            # All nodes ended. If the store lost its last minutes meanwhile, a machine runs what no record tells of.
+            self.verification.require_answers(m.id for m in machines if m.address is not None)
+
+    def _begin_write_back(self, merged: MergedState) -> None:
+        """Store again what was recovered. Until every machine has answered, or is proven deleted, one of those whose
+        records were lost may run anything: then nothing is placed. A leader's own replica lacks nothing."""
+        if not merged.is_complete:
+            self.verification.require_cloud_list()
+            self.verification.require_answers(self.worker_registry.machines)
+            for job in self.job_table.jobs.values():
+                # Above whatever was tried in the part that is lost.
+                job.attempts = [attempt + LOST_ATTEMPTS_MARGIN for attempt in job.attempts]
+            count = self.verification.unverified_count
+            log.info("term %d: %d machines may run what no record tells of", self.token, count)
+        for machine in self.worker_registry.machines.values():
+            # On record with all who followed: it may be scheduled on before its key is back.
+            machine.is_stored = True
+        self.recovery.begin_write_back(
+            self.context.clock,
+            merged,
+            self.job_table,
+            self.group_committer,
+            self.pass_trigger.schedule_pass,
+            self.job_records.apply,
+        )
+
+    def _log_loaded(self) -> None:
+        machines = self.worker_registry.machines
+        # `benchmarks.takeover` reads this line.
+        log.info(
+            "term %d: %d open jobs, %d machines, %d placements, %s, %s",
+            self.token,
+            len(self.job_table.jobs),
+            len(machines),
+            sum(len(machine.placements) for machine in machines.values()),
+            "followed" if self.state_reader.was_replica_followed else "read",
+            "with hints" if self.hints is not None else "without hints",
+        )
+
+    def _probe_machines(self) -> None:
+        """First where work that waits may go, then where most is about to end."""
+        with_free_cpu = self.worker_registry.machines_with_free_cpu
+        reachable = sorted(
+            (machine for machine in self.worker_registry.machines.values() if machine.address is not None),
+            key=lambda machine: (machine.id not in with_free_cpu, -len(machine.placements), machine.id),
+        )
+        self.verification.await_answers(len(reachable))
+        for machine in reachable:
+            self.placement_writer.dispatcher.probe(machine.id)
+
+    def handle_heartbeat(
+        self, heartbeat: Heartbeat, relay: NodeName | None = None
+    ) -> HeartbeatResponse | Redirect | None:
+        """See `HeartbeatHandler.handle`."""
+        return self.heartbeat_handler.handle(heartbeat, relay)
+
+    def is_settled(self, heartbeat: Heartbeat) -> bool:
+        """See `HeartbeatHandler.is_settled`."""
+        return self.heartbeat_handler.is_settled(heartbeat)
+
+    def apply_announced_cancellations(self, announced: CancellationNotice) -> bool:
+        """See `CancellationTracker.apply_announced`."""
+        return self.cancellation_tracker.apply_announced(announced)
+
+    def export_hints(self) -> Hints | None:
+        """See `HintExchange.export`."""
+        return self.hint_exchange.export()
+
+    def forecast(self, job: JobId) -> Ends | None:
+        """When the job will be done, where that is learned."""
+        return self.forecaster.forecast(job) if self.forecaster is not None and self.loaded else None
--- a/tests/autoscaling/test_silent_machines.py
+++ b/tests/autoscaling/test_silent_machines.py
@@ -97,8 +97,8 @@
     world.pass_time(1.0)
     assert term.scheduling_view.is_schedulable(machine), "taken back when answers arrive"
     world.net.hosts.pop(worker.machine["addr"])
-    term.dispatcher.probe(name)
-    machine.contact.unresponsive_since = term.now
+    term.placement_writer.dispatcher.probe(name)
+    machine.contact.unresponsive_since = term.context.now
     world.pass_time(30.0, 0.25)
     assert name in world.cloud.deleted
 
--- a/tests/estimates/test_stored_estimates.py
+++ b/tests/estimates/test_stored_estimates.py
@@ -62,13 +62,13 @@
     run_jobs(world, 4)
     world.pass_time(40.0)
     assert ends(world) == 4 and ends(world, "est/a") == 4 and ends(world, "est/t/b") == 4
-    spec = world.term._learned.curve_of(msgspec.convert(job(), jm.JobSpec))
+    spec = world.term.estimators.learned.curve_of(msgspec.convert(job(), jm.JobSpec))
     assert 8 < spec.at(0.5) < 20, "30 s was guessed, runs take 12"
     second = next_term(world)
     world.pass_time(2.0)
-    assert second.estimates.loaded and second.runs.run(msgspec.convert(job(), jm.JobSpec)) == pytest.approx(
-        spec.at(0.5), rel=0.1
-    )
+    assert second.estimators.keeper.loaded and second.estimators.runs.run(
+        msgspec.convert(job(), jm.JobSpec)
+    ) == pytest.approx(spec.at(0.5), rel=0.1)
     run_jobs(world, 2, first=5)
     world.pass_time(40.0)
     assert ends(world) == 6
@@ -81,11 +81,11 @@
     world.net.faults = [(f"state:1/kv?under={m.PREFIX}", "refuse")] * 200
     second = next_term(world)
     run_jobs(world, 2, first=4)
-    assert not second.estimates.loaded and ends(world) == 3, "written over what was not read"
+    assert not second.estimators.keeper.loaded and ends(world) == 3, "written over what was not read"
     world.net.faults = []
     world.pass_time(50.0)
     # What was learned meanwhile and what was stored count together, each once.
-    assert second.estimates.loaded and ends(world) == 5
+    assert second.estimators.keeper.loaded and ends(world) == 5
 
 
 @pytest.mark.parametrize("fault", ["lose", "late", "refuse"])
@@ -109,7 +109,7 @@
     assert ends(world) == 4
     run_jobs(world, 1, first=5)
     world.pass_time(40.0)
-    assert ends(world) == 5 == world.term._learned._entry("c/train").ends
+    assert ends(world) == 5 == world.term.estimators.learned._entry("c/train").ends
 
 
 def test_an_old_leaders_late_write_does_not_replace_a_newer_ones(world):
@@ -137,7 +137,7 @@
     world.pass_time(40.0)
     newer = ends(world)
     assert [answer[0] for answer in world.net.deliver_late()] == [409]
-    assert ends(world) == newer and second.estimates.loaded
+    assert ends(world) == newer and second.estimators.keeper.loaded
 
 
 def test_an_outage_of_minutes_costs_no_end_and_holds_no_placement_up(world):
@@ -163,7 +163,7 @@
     term = world.lead()
     for number in range(300):
         spec = msgspec.convert(job(id=f"wk-{number:06d}", herd=f"class {number}"), jm.JobSpec)
-        term._learned.done(spec, 10.0 + number, "i-1", "small")
+        term.estimators.learned.done(spec, 10.0 + number, "i-1", "small")
     before = len(stored_writes(world))
     world.pass_time(30.0)
     assert 20 <= len(stored_writes(world)) - before <= 31
@@ -177,7 +177,7 @@
     run_jobs(world, 5)
     # Killed: no hold is ended, nothing is stored any more; the last task was seen to end.
     known = ends(world)
-    in_memory = term._learned._entry("c/train").ends
+    in_memory = term.estimators.learned._entry("c/train").ends
     world.submit(id="wk-000006", heads=1)
     world.pass_time(4.0)
     world.net.hosts.pop("state:1")
@@ -199,7 +199,7 @@
     world.pass_time(40.0)
     world.state.transact({"if": [], "writes": [{"drop": CLASS}]})
     world.pass_time(35.0)
-    assert term._learned._entry("c/train") is None and ends(world) is None
+    assert term.estimators.learned._entry("c/train") is None and ends(world) is None
     run_jobs(world, 1, first=5)
     world.pass_time(40.0)
     assert ends(world) == 1 and ends(world, "est/t/b") == 5
@@ -232,7 +232,7 @@
 def test_a_resumed_run_counts_with_the_part_that_it_goes_on_from(world, changes, why, saved, before, taught):
     term = world.lead()
     seen = []
-    learned = term._learned
+    learned = term.estimators.learned
     original = learned.done
     learned.done = lambda spec, ran, *more: (seen.append(ran), original(spec, ran, *more))
     world.submit(heads=1, **changes)
@@ -263,7 +263,7 @@
     finish_all(world)
     world.pass_time(3.0)
     assert world.state.value("e/wk-000001") == {"s": "done", "n": 1}
-    assert term._learned._entry("c/train") is None
+    assert term.estimators.learned._entry("c/train") is None
 
 
 def test_users_are_told_when_a_job_will_be_done_on_every_node(world):
@@ -284,7 +284,7 @@
     finish_all(world)
     world.pass_time(4.0)
     assert term.forecast(name) is None
-    entries = {e.name for e in term._learned.entries()}
+    entries = {e.name for e in term.estimators.learned.entries()}
     assert entries & {"f/waiting/normal", "f/placed/normal"}, "the times that were told are not judged"
 
 
@@ -296,7 +296,7 @@
     world.pass_time(40.0)
     spec = msgspec.convert(job(), jm.JobSpec)
     # Decisions go by the guess of 30 s, corrected by the mean of three runs of 12 s.
-    assert 24 < term.runs.run(spec) < 30
+    assert 24 < term.estimators.runs.run(spec) < 30
     assert bool(stored_writes(world)) == (setting == 1.0)
     world.submit(id="wk-000009")
     world.pass_time(5.0)
@@ -324,5 +324,5 @@
     term = world.lead()
     run_jobs(world, 4, 10.0)
     spec = msgspec.convert(job(id="wk-000099"), jm.JobSpec)
-    assert term.runs.left(spec, 5.0) == pytest.approx(5.0, abs=3.0)
-    assert term.runs.left(spec, 100.0) >= 5.0
+    assert term.estimators.runs.left(spec, 5.0) == pytest.approx(5.0, abs=3.0)
+    assert term.estimators.runs.left(spec, 100.0) >= 5.0
--- a/tests/leadership/test_cancellation.py
+++ b/tests/leadership/test_cancellation.py
@@ -16,10 +16,13 @@
 from meadowcross.jobs.messages import JobState
 from meadowcross.leadership import cancellation_tracker
 from meadowcross.leadership.cancellation_broadcast import MAX_REMEMBERED_JOBS, CancellationBroadcast
+from meadowcross.leadership.cancellation_tracker import CancellationTracker
+from meadowcross.leadership.heartbeat_handler import CancellationsBeforeLoad
 from meadowcross.leadership.messages import MAX_CANCELLATIONS, CancellationNotice, decode, encode
 from meadowcross.leadership.peer_connection import PeerProtocol
 from meadowcross.leadership.peer_link import PeerLink
-from meadowcross.leadership.term import LeaderTerm
+from meadowcross.leadership.placement_writer import PlacementWriter
+from meadowcross.leadership.state_loader import StateReader
 from meadowcross.replication.follower import ReplicaFollower
 from meadowcross.replication.store_replica import StoreReplica
 from simulation.machines import Machine
@@ -29,6 +32,7 @@
 from tests.simulation.test_isolation_and_starvation import WHERE
 from tests.simulation.test_overlapping_failures import signs_of
 from tests.support.peers import connect_quiet_node
+from tests.support.terms import before_each_tick
 
 CANCEL_S = 24.0
 REFUSED_S, OUTAGE_S, ASIDE_S = 29.4, 30.6, 30.7
@@ -259,19 +263,19 @@
 def outage_before_reading(gap):
     """The second leader's first read fails, and all others for as long as the outage lasts."""
     lab = gap.lab
-    picture, began = LeaderTerm._read_stored_state, []
+    read_stored_state, began = StateReader.read, []
     gap.waited = 0.0
 
     async def read(self):
         if len(lab.takeovers) >= 2 and not began:
             began.append(self)
             lab.strike(msgspec.convert(OUTAGE | {"for_s": 28.0}, Fault))
-        found = await picture(self)
+        stored = await read_stored_state(self)
         if began and self is began[0]:
-            gap.waited = self.now - self._started_at
-        return found
+            gap.waited = self._context.now - self._context.started_at
+        return stored
 
-    gap.patch.setattr(LeaderTerm, "_read_stored_state", read)
+    gap.patch.setattr(StateReader, "read", read)
 
 
 HANGS = {"kind": "cancel_now", "at_s": 29.0, "count": 20}
@@ -384,11 +388,11 @@
 
 
 def taken_and_not_acted_on(monkeypatch):
-    monkeypatch.setattr(LeaderTerm, "apply_announced_cancellations", lambda self, told: self.loaded)
+    monkeypatch.setattr(CancellationTracker, "apply_announced", lambda self, notice: self._lifecycle.is_loaded)
 
 
 def nothing_stopped_before_reading(monkeypatch):
-    monkeypatch.setattr(LeaderTerm, "_stops_before_load", lambda self, report: [])
+    monkeypatch.setattr(CancellationsBeforeLoad, "list_stops", lambda self, heartbeat: [])
 
 
 def stops_not_repeated(monkeypatch):
@@ -397,37 +401,36 @@
 
 def fetching_counts_as_gone(monkeypatch):
     """What has not begun to run when its job is called off counts as never placed."""
-    clear = LeaderTerm._stop_all_tasks
+    stop_all_tasks = CancellationTracker.stop_all_tasks
 
     def cleared(self, job):
         for placement in list(job.placements.values()):
             if placement.phase in (PlacementPhase.SENT, PlacementPhase.FETCHING):
-                self.worker_registry.unassign(placement, job.spec, self.now)
-                self.job_table.release(placement)
-        clear(self, job)
+                self._worker_registry.unassign(placement, job.spec, self._context.now)
+                self._job_table.release(placement)
+        stop_all_tasks(self, job)
 
-    monkeypatch.setattr(LeaderTerm, "_stop_all_tasks", cleared)
+    monkeypatch.setattr(CancellationTracker, "stop_all_tasks", cleared)
 
 
 def queued_starts_leave(monkeypatch):
     """A start that waits behind others is sent whatever has become of its job."""
-    monkeypatch.setattr(LeaderTerm, "_may_start", lambda self, placement: not self._stopped)
+    monkeypatch.setattr(PlacementWriter, "may_start", lambda self, placement: not self._lifecycle.is_stopped)
 
 
 def hung_counts_as_gone(monkeypatch):
     """What a machine that is silent has of a job that was called off counts as gone after a few seconds."""
-    look = LeaderTerm._on_tick
 
-    def tick(self):
-        for job in list(self.job_table.jobs.values()):
+    def release_hung(term):
+        now = term.context.now
+        for job in list(term.job_table.jobs.values()):
             for placement in list(job.placements.values()) if job.cancelled_at is not None else []:
-                if placement.stop_requested_at is not None and self.now - placement.stop_requested_at > 3.0:
-                    self.worker_registry.unassign(placement, job.spec, self.now)
-                    self.job_table.release(placement)
-                    self._after_release(job)
-        look(self)
+                if placement.stop_requested_at is not None and now - placement.stop_requested_at > 3.0:
+                    term.worker_registry.unassign(placement, job.spec, now)
+                    term.job_table.release(placement)
+                    term.placement_writer.after_release(job)
 
-    monkeypatch.setattr(LeaderTerm, "_on_tick", tick)
+    before_each_tick(monkeypatch, release_hung)
 
 
 FAULTS = [
@@ -593,15 +596,15 @@
     """A read can be faster than the watch, as the word was when it still ended jobs. Once the job came back into the
     book with no attempts, and the task that its machine still showed counted as proof that records were lost. Also
     where the end's answer was lost."""
+    follower = world.follower = ReplicaFollower(world.clock, world.store, 1 << 20)
     term = world.lead()
     world.submit(grazeS=900.0)
     world.pass_time(8.0)
     lost = []
-    term._report_data_loss = lambda why, old=False: lost.append(why)
-    follower = term._follower = ReplicaFollower(world.clock, world.store, 1 << 20)
+    term.recovery.report_data_loss = lambda reason, is_loss_older=False: lost.append(reason)
     follower.begin_leading(StoreReplica(), True)
-    seen, held, fed = term._apply_job_record, [], []
-    term._apply_job_record = lambda *event: held.append(event)
+    apply, held, fed = term.job_records.apply, [], []
+    term.job_records.apply = lambda *event: held.append(event)
     follower.apply_events = lambda *events: fed.append(events)
     item = world.state.keys[f"j/{NAME}"]
     write = {"write": f"j/{NAME}", "data": item["data"] | {"c": 1.0}}
@@ -610,7 +613,7 @@
         world.net.faults.append(("state:1/multi", "lose"))
     assert term.apply_announced_cancellations(told(j000001=mark))
     # As read after a conflict, or a lost answer.
-    seen(f"j/{NAME}", msgspec.Raw(json.dumps(write["data"]).encode()), mark)
+    apply(f"j/{NAME}", msgspec.Raw(json.dumps(write["data"]).encode()), mark)
     world.pass_time(4.0)
     assert NAME not in term.job_table.jobs and world.state.value(f"e/{NAME}") is not None
     worker = next(iter(world.workers.values()))
@@ -619,7 +622,7 @@
     # Nothing is answered at once, as it is here: what such a job has to write waits.
     world.state.outage = True
     for event in held:
-        seen(*event)
+        apply(*event)
     del follower.apply_events
     for events in fed:
         follower.apply_events(*events)
--- /dev/null
+++ b/tests/leadership/test_heartbeat_handler.py
@@ -0,0 +1,55 @@
+"""Heartbeats before a term has loaded its state."""
+
+from __future__ import annotations
+
+from types import SimpleNamespace
+
+import pytest
+from msgspec import Raw
+from twisted.internet.task import Clock
+
+from meadowcross.autoscaling.messages import encode
+from meadowcross.leadership.heartbeat_handler import CancellationsBeforeLoad, HeartbeatHandler
+from meadowcross.workers.messages import decode_heartbeat
+from tests.support.terms import build_state
+from tests.support.world import job
+
+
+def heartbeat(token=1, standing="running"):
+    fields = {"stall": "i-1", "addr": "10.0.0.1:9000", "build": "small", "field": "east", "stubble": False}
+    task = {"head": "wk-000001/0", "round": 1, "standing": standing}
+    return decode_heartbeat(encode(fields | {"tenure": 1, "tally": 1, "crook": token, "heads": [task]}))
+
+
+def replica(cancelled_at):
+    record = {"spec": job(), "t": 1.0, "k": 256} | ({"c": cancelled_at} if cancelled_at is not None else {})
+    item = SimpleNamespace(value=Raw(encode(record)))
+    return SimpleNamespace(get={"j/wk-000001": item}.get)
+
+
+STOPS = [
+    # what the replica says of the cancel, whether a peer said so, what the task does, how many stops
+    ("nobody knows of a cancel", None, False, "running", 0),
+    ("by the replica", 5.0, False, "running", 1),
+    ("by a peer", None, True, "running", 1),
+    ("a task that has ended", 5.0, True, "ended", 0),
+]
+
+
+@pytest.mark.parametrize(
+    ("cancelled_at", "announced", "standing", "count"), [row[1:] for row in STOPS], ids=[row[0] for row in STOPS]
+)
+def test_known_cancels_stop_tasks_before_the_state_is_loaded(cancelled_at, announced, standing, count):
+    cancellations = CancellationsBeforeLoad(replica(cancelled_at), lambda job_id: announced)
+    handler = HeartbeatHandler(build_state(Clock(), is_loaded=False), None, None, None, cancellations)
+    response = handler.handle(heartbeat(standing=standing))
+    assert response.token == 1
+    assert [(c.op, c.task, c.attempt, c.grace_s) for c in response.commands] == [
+        ("stop", "wk-000001/0", 1, 0.0)
+    ] * count
+
+
+def test_a_worker_that_has_seen_a_higher_token_is_not_answered():
+    cancellations = CancellationsBeforeLoad(None, lambda job_id: False)
+    handler = HeartbeatHandler(build_state(Clock(), is_loaded=False), None, None, None, cancellations)
+    assert handler.handle(heartbeat(token=2)) is None
--- a/tests/leadership/test_leader_term.py
+++ b/tests/leadership/test_leader_term.py
@@ -404,7 +404,9 @@
             worker.end(key)
     world.pass_time(3.0)
     assert world.state.value("e/wk-000001") == {"s": "done", "n": 2}
-    learned = [entry.name for term in (first, second) for entry in term._learned.entries() if entry.name[0] != "f"]
+    learned = [
+        entry.name for term in (first, second) for entry in term.estimators.learned.entries() if entry.name[0] != "f"
+    ]
     assert learned == [], "a run of 30 s was taken for one of 2 s"
 
 
@@ -442,11 +444,11 @@
     world.submit(grazeS=900.0)
     world.pass_time(8.0)
     lost = []
-    term._report_data_loss = lambda why, old=False: lost.append(why)
+    term.recovery.report_data_loss = lambda reason, is_loss_older=False: lost.append(reason)
     old = dict(world.state.keys["j/wk-000001"])
     for worker in world.workers.values():
         worker.obey = lambda calls: None
-    get = term._store.get
+    get = world.store.get
 
     async def slow(key, urgency):
         item = await get(key, urgency)
@@ -455,8 +457,8 @@
             await pause(world.clock, 1.0)
         return item
 
-    term._store.get = slow
-    world.run(term._reread_keys(["j/wk-000001"]))
+    world.store.get = slow
+    world.run(term.commit_outcome.reread_keys(["j/wk-000001"]))
     assert lost == [] and term.job_table.jobs["wk-000001"].cancelled_at is not None
 
 
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -414,10 +414,10 @@
 
             def begin(token, node=node, take=take):
                 term = take(token)
-                if term._hints is not None:
-                    names = list(term._hints.incarnations)
-                    term._hints = replace(
-                        term._hints, incarnations=dict.fromkeys(names, 9), silence_s=dict.fromkeys(names, 500.0)
+                if term.hints is not None:
+                    names = list(term.hints.incarnations)
+                    term.hints = replace(
+                        term.hints, incarnations=dict.fromkeys(names, 9), silence_s=dict.fromkeys(names, 500.0)
                     )
                 return term
 
--- a/tests/simulation/test_failures_during_work.py
+++ b/tests/simulation/test_failures_during_work.py
@@ -14,7 +14,7 @@
 from meadowcross.jobs.api import JobApi, job_response
 from meadowcross.jobs.job_table import PlacementPhase
 from meadowcross.leadership.scheduling_view import SchedulingView
-from meadowcross.leadership.term import LeaderTerm
+from meadowcross.leadership.state_loader import StateLoader
 from meadowcross.workers.registry import TaskChange, WorkerRegistry
 from simulation.judge import WAITS_S, Judge, Spec
 from tests.simulation.test_isolation_and_starvation import deaf_is_gone, largest_starved
@@ -453,13 +453,13 @@
 
 def a_new_leader_waits(monkeypatch):
     """Cancels that a picture holds are acted on late."""
-    load = LeaderTerm._load_state
+    load = StateLoader.load
 
     async def loaded(self):
-        await pause(self._clock, 30.0)
+        await pause(self._context.clock, 30.0)
         return await load(self)
 
-    monkeypatch.setattr(LeaderTerm, "_load_state", loaded)
+    monkeypatch.setattr(StateLoader, "load", loaded)
 
 
 FAULTS = [
--- a/tests/simulation/test_isolation_and_starvation.py
+++ b/tests/simulation/test_isolation_and_starvation.py
@@ -8,13 +8,14 @@
 
 from meadowcross.common.http import ServerResponse
 from meadowcross.jobs.api import JobApi
+from meadowcross.leadership.machine_status import MachineStatusHandler
 from meadowcross.leadership.scheduling_view import SchedulingView
-from meadowcross.leadership.term import LeaderTerm
 from meadowcross.workers.registry import WorkerRegistry
 from simulation.judge import BEGIN_S, FORGOTTEN_S, Judge, Spec
 from simulation.scenario import Fault, load
 from simulation.world import Lab
 from tests.simulation.test_scenarios import EXAMPLES, placements_forgotten
+from tests.support.terms import before_each_tick
 
 WHERE = EXAMPLES[0].parent
 
@@ -117,30 +118,29 @@
 
 def deaf_is_gone(monkeypatch):
     """What commands don't reach counts as gone, though it reports."""
-    look = LeaderTerm._on_tick
 
-    def tick(self):
-        for machine in list(self.worker_registry.machines.values()):
-            away = machine.contact.unresponsive_since is not None or self.scheduling_view.is_silent(machine)
-            for placement in list(machine.placements.values()) if away and self.loaded else []:
-                self.worker_registry.unassign(placement, self.job_table.jobs[placement.task.job].spec, self.now)
-                self.job_table.release(placement)
-        look(self)
+    def release_unreached(term):
+        for machine in list(term.worker_registry.machines.values()):
+            is_away = machine.contact.unresponsive_since is not None or term.scheduling_view.is_silent(machine)
+            for placement in list(machine.placements.values()) if is_away and term.loaded else []:
+                spec = term.job_table.jobs[placement.task.job].spec
+                term.worker_registry.unassign(placement, spec, term.context.now)
+                term.job_table.release(placement)
 
-    monkeypatch.setattr(LeaderTerm, "_on_tick", tick)
+    before_each_tick(monkeypatch, release_unreached)
 
 
 def copies_are_new(monkeypatch):
     """Whatever arrives is taken for the newest report."""
-    take = LeaderTerm._apply_heartbeat
+    apply = MachineStatusHandler.apply
 
-    def taken(self, report):
-        machine = self.worker_registry.machines.get(report.machine)
-        if machine is not None and report.token >= self.token:
+    def applied(self, heartbeat):
+        machine = self._worker_registry.machines.get(heartbeat.machine)
+        if machine is not None and heartbeat.token >= self._context.token:
             machine.proof.heartbeat_version = machine.proof.heartbeat_version._replace(incarnation=0, sequence=0)
-        return take(self, report)
+        return apply(self, heartbeat)
 
-    monkeypatch.setattr(LeaderTerm, "_apply_heartbeat", taken)
+    monkeypatch.setattr(MachineStatusHandler, "apply", applied)
 
 
 def lonely_for_ever(monkeypatch):
--- a/tests/simulation/test_overlapping_failures.py
+++ b/tests/simulation/test_overlapping_failures.py
@@ -9,7 +9,7 @@
 
 from meadowcross.common.http import ConnectionFailedError, HttpClient, NoResponseError
 from meadowcross.jobs.job_reader import ABSENT_JOB, JobReader
-from meadowcross.leadership.term import LeaderTerm
+from meadowcross.leadership.cancellation_tracker import CancellationTracker
 from meadowcross.recovery import writeback
 from meadowcross.recovery.store_epochs import StoreEpochs
 from meadowcross.store.group_commit import Write
@@ -19,6 +19,7 @@
 from tests.simulation.test_isolation_and_starvation import WHERE, copies_are_new, deaf_is_gone
 from tests.simulation.test_scenarios import done_with_the_first, no_leader_condition, placements_forgotten
 from tests.support.combined_failures import mixed
+from tests.support.terms import before_each_tick
 
 
 class Meeting:
@@ -340,18 +341,17 @@
 
 def unheard_is_gone(monkeypatch):
     """What a new leader can't reach within seconds counts as gone."""
-    look = LeaderTerm._on_tick
 
-    def tick(self):
-        for machine in list(self.worker_registry.machines.values()):
-            unheard = not machine.is_up and self.now - self._started_at > 4.0
+    def release_unheard(term):
+        now = term.context.now
+        for machine in list(term.worker_registry.machines.values()):
+            is_unheard = not machine.is_up and now - term.context.started_at > 4.0
             for placement in list(machine.placements.values()):
-                if unheard and placement.is_inherited:
-                    self.worker_registry.unassign(placement, self.job_table.jobs[placement.task.job].spec, self.now)
-                    self.job_table.release(placement)
-        look(self)
+                if is_unheard and placement.is_inherited:
+                    term.worker_registry.unassign(placement, term.job_table.jobs[placement.task.job].spec, now)
+                    term.job_table.release(placement)
 
-    monkeypatch.setattr(LeaderTerm, "_on_tick", tick)
+    before_each_tick(monkeypatch, release_unheard)
 
 
 def reaped_before_stored(monkeypatch):
@@ -360,7 +360,7 @@
 
 def never_asked_of_machines(monkeypatch):
     """A job that is on no record counts as being nowhere."""
-    monkeypatch.setattr(LeaderTerm, "_is_on_no_machine", lambda self, name, since: True)
+    monkeypatch.setattr(CancellationTracker, "_is_on_no_machine", lambda self, job_id, known_since: True)
 
 
 def stages_unconditional(monkeypatch):
--- a/tests/simulation/test_relays.py
+++ b/tests/simulation/test_relays.py
@@ -339,7 +339,7 @@
             machine = term.worker_registry.machines.get(one.machine)
             for placement in list(machine.placements.values()) if machine is not None else []:
                 if placement.phase in (PlacementPhase.SENT, PlacementPhase.FETCHING):
-                    term._apply_outcome(machine, TaskOutcome(TaskChange.GONE, placement, "lost"))
+                    term.task_outcomes.apply(machine, TaskOutcome(TaskChange.GONE, placement, "lost"))
         renewed(self, renewals)
 
     monkeypatch.setattr(RelayService, "apply_renewals", taken)
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -12,14 +12,16 @@
 from meadowcross.jobs import messages as jm
 from meadowcross.jobs.api import JobApi, job_response
 from meadowcross.jobs.job_table import Job
+from meadowcross.leadership.reconciler import Reconciler
+from meadowcross.leadership.scheduling_loop import SchedulingLoop
 from meadowcross.leadership.scheduling_view import SchedulingView
-from meadowcross.leadership.term import LeaderTerm
 from meadowcross.placement import engine
 from meadowcross.store.group_commit import GroupCommitter
 from meadowcross.workers.registry import WorkerRegistry
 from simulation.scenario import ScenarioError, load
 from simulation.world import Lab
 from tests.support.paths import ROOT
+from tests.support.terms import before_each_tick
 
 EXAMPLES = sorted(ROOT.joinpath("examples", "simulation").glob("*.toml"))
 
@@ -55,38 +57,36 @@
 
 def starts_before_storing(monkeypatch):
     """Placements are sent at once, whatever becomes of their transaction; and what would notice is left out too."""
-    monkeypatch.setattr(LeaderTerm, "_detect_lost_records", lambda self, machine: None)
-    stored = LeaderTerm._apply_decisions
+    monkeypatch.setattr(Reconciler, "_detect_lost_records", lambda self, machine: None)
+    apply_decisions = SchedulingLoop.apply_decisions
 
-    def take(self, choices):
-        stored(self, choices)
-        for job in self.job_table.jobs.values():
+    def applied(self, decisions):
+        apply_decisions(self, decisions)
+        for job in self._job_table.jobs.values():
             for placement in list(job.placements.values()):
                 if placement.phase == 0:
-                    self._on_placement_stored(placement)
+                    self._placement_writer.on_placement_stored(placement)
 
-    monkeypatch.setattr(LeaderTerm, "_apply_decisions", take)
+    monkeypatch.setattr(SchedulingLoop, "apply_decisions", applied)
 
 
 def silence_is_proof(monkeypatch):
     """What is silent counts as gone."""
-    look = LeaderTerm._on_tick
 
-    def tick(self):
-        for machine in list(self.worker_registry.machines.values()):
-            if self.loaded and machine.is_up and self.scheduling_view.silence_s(machine) > 6.0:
+    def release_silent(term):
+        for machine in list(term.worker_registry.machines.values()):
+            if term.loaded and machine.is_up and term.scheduling_view.silence_s(machine) > 6.0:
                 for placement in list(machine.placements.values()):
-                    job = self.job_table.jobs[placement.task.job]
-                    self.worker_registry.unassign(placement, job.spec, self.now)
-                    self.job_table.release(placement)
-        look(self)
+                    job = term.job_table.jobs[placement.task.job]
+                    term.worker_registry.unassign(placement, job.spec, term.context.now)
+                    term.job_table.release(placement)
 
-    monkeypatch.setattr(LeaderTerm, "_on_tick", tick)
+    before_each_tick(monkeypatch, release_silent)
 
 
 def placements_forgotten(monkeypatch):
     """A new leader takes over no placement; and what would notice is left out too."""
-    monkeypatch.setattr(LeaderTerm, "_detect_lost_records", lambda self, machine: None)
+    monkeypatch.setattr(Reconciler, "_detect_lost_records", lambda self, machine: None)
     monkeypatch.setattr(Job, "load_chunk", lambda self, first, entries: iter(()))
     monkeypatch.setattr(WorkerRegistry, "_compare_tasks", lambda self, machine, report, now: [])
 
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -17,6 +17,7 @@
 from meadowcross.jobs.api import JobApi
 from meadowcross.jobs.collaborators import IntactStore, JobEvents, LocalReplica, PeerQueries
 from meadowcross.leadership.term import LeaderTerm
+from meadowcross.replication.follower import ReplicaFollower
 from meadowcross.store.client import StoreClient
 from meadowcross.workers.messages import decode_heartbeat
 from simulation.standins import TYPES, CloudService, FakeNet, StateService, Worker
@@ -94,6 +95,7 @@
         self.terms: list[LeaderTerm] = []
         self.reporting = True
         self.peers_hear: int | None = 0
+        self.follower: ReplicaFollower | None = None
 
     def worker_up(self, machine: dict[str, Any]) -> None:
         worker = Worker(dict(machine))
@@ -116,6 +118,7 @@
             token,
             self.election,
             lambda: self.peers_hear,
+            self.follower,
         )
         self.term.start()
         self.terms.append(self.term)
