--- a/tests/leadership/test_reachability.py
+++ b/tests/leadership/test_reachability.py
@@ -70,7 +70,7 @@
             else None
         )
     assert (visitors.count() == 1) is counts
-    assert (heard[-1] == term.now) is counts
+    assert (heard[-1] == term.context.now) is counts
 
 
 def busy(world, heads=8):
