--- a/tests/leadership/test_cancellation.py
+++ b/tests/leadership/test_cancellation.py
@@ -377,7 +377,7 @@
     """As soon as the cancel is stored."""
 
     async def cancelled(self, job, found, until):
-        self._trust.on_cancelled(job, found.mod_revision, found.is_unrecorded)
+        self._events.on_cancelled(job, found.mod_revision, found.is_unrecorded)
         return job_response(job, JobState.CANCELLED, 0, 0)
 
     monkeypatch.setattr(JobApi, "_await_cancellation", cancelled)
