--- a/meadowcross/controller/assembly.py
+++ b/meadowcross/controller/assembly.py
@@ -33,7 +33,8 @@
 from meadowcross.leadership.peer_link import PeerLink
 from meadowcross.leadership.peer_listeners import PeerListeners
 from meadowcross.recovery.audit import StoreAuditor
-from meadowcross.recovery.collect import StateRecovery
+from meadowcross.recovery.collect import LocalSources, StateRecovery
+from meadowcross.recovery.peer_replicas import PeerReplicas
 from meadowcross.recovery.store_epochs import StoreEpochs
 from meadowcross.relay.relay import Relay
 from meadowcross.relay.service import RelayService
@@ -199,17 +200,18 @@
         reactor, services.digest, lambda leader: link.request_full_hints(FullHintsRequest(services.node), leader)
     )
     relay = Relay(reactor, services.node, lambda: link, services.short_lived_http)
-    recovery = StateRecovery(
+    peer_replicas = PeerReplicas(
         reactor,
-        services.store,
-        store_view.store_epochs,
-        follower,
-        services.node,
+        services.peer_names,
         lambda: [heartbeat.node for heartbeat in link.status.fresh_heartbeats()],
         link.request_replica_part,
-        store_view.snapshots.read,
+    )
+    recovery = StateRecovery(
+        services.store,
+        store_view.store_epochs,
+        LocalSources(services.node, follower, store_view.snapshots.read),
+        peer_replicas,
         services.operator.lost_wait_s or None,
-        services.peer_names,
     )
     builder = TermBuilder(services, cluster.election, link, follower, hints, recovery, cancellations)
     term_manager = TermManager(services, terms, builder, link, relay, cluster.failure_detector)
--- a/meadowcross/controller/recovery.py
+++ b/meadowcross/controller/recovery.py
@@ -13,7 +13,7 @@
 from meadowcross.leadership.messages import PeerHeartbeat
 from meadowcross.leadership.peer_link import PeerLink
 from meadowcross.leadership.peer_status import PeerStatus
-from meadowcross.recovery.collect import build_replica_part
+from meadowcross.recovery.peer_replicas import build_replica_part
 from meadowcross.recovery.merge import RecoverySource
 from meadowcross.recovery.messages import LEADER_KEY, RecoveryStage, ReplicaPart, ReplicaPartRequest
 from meadowcross.recovery.store_epochs import StoreEpochs
--- a/meadowcross/leadership/term_recovery.py
+++ b/meadowcross/leadership/term_recovery.py
@@ -62,7 +62,6 @@
         assert self._recovery is not None
         self._write_back = WriteBack(
             clock,
-            self._recovery.store_epochs,
             merged,
             job_table,
             committer,
--- a/meadowcross/recovery/__init__.py
+++ b/meadowcross/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""When the state service has lost data: noticing, holding still, and writing back what others still know."""
+"""Recovery of a store that has lost data: noticing it, holding still, and writing back what others still know."""
--- a/meadowcross/recovery/messages.py
+++ b/meadowcross/recovery/messages.py
@@ -1,8 +1,9 @@
-"""Eras as stored, and what nodes ask each other of their pictures; wire and key names stay here."""
+"""Store epochs as stored, and how nodes send each other their replicas; wire and key names stay in this file."""
 
 from __future__ import annotations
 
 from enum import IntEnum
+from typing import NamedTuple
 
 from msgspec import Raw, Struct, field
 
@@ -14,56 +15,66 @@
 
 
 class StoreEpochRecord(Struct, frozen=True):
-    """Under `era`, never rewritten within an era: everything that is written is conditional on it."""
+    """Stored under EPOCH_KEY and never rewritten within an epoch: everything that is written is conditional on it."""
 
     number: int = field(name="n")
     unique_id: str = field(name="x")
 
 
 class RecoveryStage(IntEnum):
-    """How far a rebuild has come."""
+    """How far a recovery has come."""
 
     OPEN_JOBS = 1
-    """Open jobs, tasks and machines come back; users are told to come again."""
+    """Open jobs, tasks and machines are written back; users are asked to retry."""
     ENDED_JOBS = 2
-    """Ended jobs come back; who leads answers for them from what it gathered."""
+    """Ended jobs are written back; the leader answers for them from what it collected."""
     SETTLING = 3
-    """All that was known is back; jobs that nobody knows may still be somebody's."""
+    """All that was known is back; a job that nobody knows may still have been accepted."""
 
 
 class RecoveryProgress(Struct, frozen=True):
-    """Under `rebuild`, from the beginning of an era until all is settled."""
+    """Stored under RECOVERY_PROGRESS_KEY, from the beginning of an epoch until all is settled."""
 
     epoch: int = field(name="n")
     stage: RecoveryStage = field(name="p")
     settling_until: WallTime | None = field(name="u", default=None)
-    """While settling: until then jobs that nobody knows are not said to be unknown; none: for ever."""
+    """While settling: until then jobs that nobody knows are not said to be unknown; None: for ever."""
     proven_jobs: list[str] = field(name="j", default_factory=list)
-    """Jobs of which nothing is left but tasks on machines: that proves that they were submitted, so they stay known,
-    also once time is up, until their users submit them again."""
+    """Jobs of which nothing is left but tasks on machines. That proves that they were submitted, so they stay known,
+    also once the time is up, until their users submit them again."""
 
 
 MAX_PROVEN_JOBS = 400
-"""Of them; what a value of the state service holds with room to spare."""
+"""Of RecoveryProgress; a value of the store holds so many with room to spare."""
 
 
 class ReplicaPartRequest(Struct, tag="picture?", tag_field="kind"):
-    """What did you follow before the loss? From this key on."""
+    """Asks a peer for what it followed before the loss, from the key after `after_key` on."""
 
     number: int
     after_key: str = field(name="after", default="")
 
 
+class ReplicaPartItem(NamedTuple):
+    """One key of a replica; an array on the wire."""
+
+    key: str
+    revision: Revision
+    value: Raw
+
+
 class ReplicaPart(Struct, tag="picture", tag_field="kind"):
-    """Keys in order, with their versions; `era` and `revision` of the picture, none where there is no picture."""
+    """Items in the order of their keys; without `epoch` the peer has no replica of before the loss."""
 
     number: int
     node: NodeName
     epoch: int | None = field(name="era", default=None)
+    """In which the replica was followed."""
     revision: Revision = Revision(0)
+    """Of the replica."""
     is_complete: bool = field(name="whole", default=False)
-    """It was a leader's own, which lacks nothing that was stored."""
-    items: list[tuple[str, Revision, Raw]] = []
+    """The replica is a leader's own, and lacks nothing that was stored."""
+    items: list[ReplicaPartItem] = []
     has_more: bool = field(name="more", default=False)
 
 
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -293,7 +293,7 @@
         return item
 
     store.get = slow
-    world.run(audit._check_key("t/a/00000"))
+    world.run(audit.check_key("t/a/00000"))
     store.get = get
     assert (said in lost[0]) if said else lost == []
 
