--- a/meadowcross/controller/recovery.py
+++ b/meadowcross/controller/recovery.py
@@ -13,9 +13,9 @@
 from meadowcross.leadership.messages import PeerHeartbeat
 from meadowcross.leadership.peer_link import PeerLink
 from meadowcross.leadership.peer_status import PeerStatus
-from meadowcross.recovery.peer_replicas import build_replica_part
 from meadowcross.recovery.merge import RecoverySource
 from meadowcross.recovery.messages import LEADER_KEY, RecoveryStage, ReplicaPart, ReplicaPartRequest
+from meadowcross.recovery.peer_replicas import build_replica_part
 from meadowcross.recovery.store_epochs import StoreEpochs
 from meadowcross.replication.follower import ReplicaFollower
 from meadowcross.store.client import StoreClient
--- a/meadowcross/recovery/store_epochs.py
+++ b/meadowcross/recovery/store_epochs.py
@@ -111,9 +111,11 @@
         Raises StoreUnavailableError where the store can't be relied on.
         """
         if self.state is EpochState.LOST:
-            raise StoreUnavailableError(f"the state service has lost data: {self.loss_reason}")
+            reason = f"the state service has lost data: {self.loss_reason}"
+            raise StoreUnavailableError(reason)
         if self.record is None:
-            raise StoreUnavailableError("the state service's era is not known yet")
+            reason = "the state service's era is not known yet"
+            raise StoreUnavailableError(reason)
         return Condition(EPOCH_KEY, self.record_revision)
 
     def on_epoch_mismatch(self) -> None:
--- a/meadowcross/replication/follower.py
+++ b/meadowcross/replication/follower.py
@@ -55,6 +55,10 @@
     OFF = "off"
 
 
+def _ignore_ended_job(key: str, value: Raw) -> None:
+    """Nobody wants to know."""
+
+
 class ReplicaFollower:
     """Keeps a replica of the store up to date. All methods run on the reactor thread."""
 
@@ -63,7 +67,7 @@
         clock: Clock,
         store: StoreClient,
         max_bytes: int,
-        on_job_ended: Callable[[str, Raw], None] = lambda key, value: None,
+        on_job_ended: Callable[[str, Raw], None] = _ignore_ended_job,
     ) -> None:
         """`on_job_ended` gets each ended job's key and record once they are in the replica: followed, or written here.
 
--- a/meadowcross/snapshots/files.py
+++ b/meadowcross/snapshots/files.py
@@ -76,6 +76,16 @@
 class UnusableSnapshotError(Exception):
     """A snapshot can't be used; the message names it and the reason."""
 
+    def __init__(self, name: str, reason: str) -> None:
+        super().__init__(f"{name}: {reason}")
+
+
+class SnapshotTooLargeError(OSError):
+    """A snapshot would take more than is allowed; nothing of it is written."""
+
+    def __init__(self, name: str, size_bytes: int, max_bytes: int) -> None:
+        super().__init__(f"{name}: {size_bytes} bytes, at most {max_bytes} are allowed")
+
 
 class SnapshotInfo(NamedTuple):
     """A snapshot in a directory, usable or not."""
@@ -112,12 +122,13 @@
 ) -> Manifest:
     """Write the data file, then its manifest, which is returned.
 
-    Raises OSError, also where the data would take more than `max_bytes`; no partial file stays behind.
+    Raises OSError, as SnapshotTooLargeError where the data would take more than `max_bytes`; no partial file stays
+    behind.
     """
     name = snapshot_name(header.epoch, header.revision, header.base_revision)
     content = _compress(entries)
     if len(content) > max_bytes:
-        raise OSError(f"{name}: {len(content)} bytes, at most {max_bytes} are allowed")
+        raise SnapshotTooLargeError(name, len(content), max_bytes)
     manifest = Manifest(
         kind=MANIFEST_KIND,
         format=FORMAT_VERSION,
@@ -210,15 +221,15 @@
         with open(os.path.join(directory, snapshot.name + DATA_SUFFIX), "rb") as file:
             content = file.read()
     except OSError as error:
-        raise UnusableSnapshotError(f"{snapshot.name}: can't be read: {error.strerror}") from error
+        raise UnusableSnapshotError(snapshot.name, f"can't be read: {error.strerror}") from error
     if hashlib.sha256(content).hexdigest() != snapshot.manifest.sha256:
-        raise UnusableSnapshotError(f"{snapshot.name}: broken: its checksum is another")
+        raise UnusableSnapshotError(snapshot.name, "broken: its checksum is another")
     decode = msgspec.json.Decoder(SnapshotEntry).decode
     try:
         for line in gzip.decompress(content).splitlines():
             yield decode(line)
     except (OSError, EOFError, msgspec.DecodeError) as error:
-        raise UnusableSnapshotError(f"{snapshot.name}: broken: {error}") from error
+        raise UnusableSnapshotError(snapshot.name, f"broken: {error}") from error
 
 
 def read_newest(directory: str) -> ReadResult:
--- a/meadowcross/snapshots/writer.py
+++ b/meadowcross/snapshots/writer.py
@@ -94,6 +94,7 @@
         except OSError as error:
             self._last = None
             if not self._failure_count:
+                # A full disk is one line, not a traceback.
                 log.error("snapshot_failed directory=%s error=%s", self._settings.directory, error)
             self._failure_count += 1
         except Exception:
