--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -16,7 +16,7 @@
 from meadowcross.leadership.scheduling_loop import SchedulingLoop
 from meadowcross.leadership.scheduling_view import SchedulingView
 from meadowcross.placement import engine
-from meadowcross.store.group_commit import GroupCommitter
+from meadowcross.store import group_commit
 from meadowcross.workers.registry import WorkerRegistry
 from simulation.scenario import ScenarioError, load
 from simulation.world import Lab
@@ -44,15 +44,7 @@
 
 def no_leader_condition(monkeypatch):
     """Not the leader's key, nor the versions that would stop a late transaction too."""
-    monkeypatch.setattr(GroupCommitter, "_collect_batch", _without_conditions(GroupCommitter._collect_batch))
-
-
-def _without_conditions(gather):
-    def gathered(self):
-        taken, conditions, changes = gather(self)
-        return taken, [c for c in conditions if c.mod_revision < 0], changes
-
-    return gathered
+    monkeypatch.setattr(group_commit._Batch, "conditions", lambda self: [])
 
 
 def starts_before_storing(monkeypatch):
