--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -121,11 +121,12 @@
 
 def measure(machines: int) -> dict[str, float]:
     """One row of the table, in the units of HEADINGS."""
+    from meadowcross.autoscaling.messages import encode
     from meadowcross.common.types import NodeName
     from meadowcross.workers.api import WorkerApi
     from meadowcross.workers.heartbeat_tracker import HeartbeatTracker
     from meadowcross.workers.messages import decode_heartbeat
-    from tests.support.world import World, encode, job
+    from tests.support.world import World, job
 
     world = World()
     world.reporting = False
--- a/benchmarks/tickets.py
+++ b/benchmarks/tickets.py
@@ -39,7 +39,7 @@
 
     farm = Farm(3)
     for gateway in farm.gateways.values():
-        gateway.intake._rate = gateway.intake._all._rate = 1e6
+        gateway.intake._rate = 1e6
         gateway.intake._all._burst = gateway.intake._all._available = 1e6
     accept = HdrHistogram(1, 60_000_000, 3)
     ids = []
--- a/tests/estimates/test_learned_run_times.py
+++ b/tests/estimates/test_learned_run_times.py
@@ -35,10 +35,11 @@
 
 
 def taught(runs, clock=None, **of):
-    learned = Learned(clock or Clock())
+    clock = clock or Clock()
+    learned = Learned(clock)
     for seconds in runs:
         learned.learn(kind(**of), seconds)
-        learned._clock.advance(2.0)
+        clock.advance(2.0)
     return learned
 
 
@@ -168,18 +169,19 @@
 
 
 def test_a_slow_machine_does_not_spoil_its_classes_but_a_change_on_all_is_learned():
-    learned = Learned(Clock())
+    clock = Clock()
+    learned = Learned(clock)
     chance = Random(7)
     for i in range(400):
         machine = chance.randrange(10)
         learned.learn(kind(), 40 * exp(chance.gauss(0, 0.08)) * (4 if machine == 0 else 1), f"i-{machine}")
-        learned._clock.advance(2.0)
+        clock.advance(2.0)
         if i == 100:
             learned_by_then = learned._entry("c/train").ends
     assert learned.curve(kind()).at(0.9) < 60 and learned._entry("c/train").ends - learned_by_then < 280
     for _ in range(30):
         learned.learn(kind(), 80 * exp(chance.gauss(0, 0.08)), f"i-{chance.randrange(1, 10)}")
-        learned._clock.advance(2.0)
+        clock.advance(2.0)
     assert learned.curve(kind()).at(0.5) == pytest.approx(80, rel=0.2)
 
 
--- a/tests/estimates/test_stored_estimates.py
+++ b/tests/estimates/test_stored_estimates.py
@@ -8,7 +8,7 @@
 import pytest
 
 from meadowcross.common.settings import OperatorSettings
-from meadowcross.common.types import FencingToken, NodeName
+from meadowcross.common.types import FencingToken, JobId, NodeName
 from meadowcross.estimates import messages as m
 from meadowcross.jobs import messages as jm
 from meadowcross.leadership.messages import PeerHeartbeat, decode
@@ -270,7 +270,7 @@
     term = world.lead()
     world.submit(heads=6, grazeS=40.0)
     world.pass_time(6.0)
-    name = jm.JobId("wk-000001")
+    name = JobId("wk-000001")
     low, middle, high = term.forecast(name)
     assert 0 < low < middle < high < 400 and middle > 20
     world.pass_time(5.0)
@@ -300,7 +300,7 @@
     assert bool(stored_writes(world)) == (setting == 1.0)
     world.submit(id="wk-000009")
     world.pass_time(5.0)
-    assert (term.forecast(jm.JobId("wk-000009")) is not None) == (setting == 1.0)
+    assert (term.forecast(JobId("wk-000009")) is not None) == (setting == 1.0)
 
 
 def test_a_peer_of_an_earlier_version_says_nothing_of_ends(world):
@@ -315,7 +315,7 @@
                 world.clock.callLater(0.01, link.on_message, self, decode(old.encode()))
 
     link.on_connected(NodeName("n1"), Line())
-    link.request_progress(NodeName("n1"), jm.JobId("wk-000001")).addCallback(answers.append)
+    link.request_progress(NodeName("n1"), JobId("wk-000001")).addCallback(answers.append)
     world.pass_time(1.0)
     assert answers == [(3, 2, None)]
 
--- a/tests/leadership/test_cancellation.py
+++ b/tests/leadership/test_cancellation.py
@@ -60,6 +60,8 @@
 class Gap:
     """A play of `cancelled-unheard` with other troubles: jobs with long tasks, ten cancelled a second from 27 s on."""
 
+    patch: pytest.MonkeyPatch
+
     def __init__(self, faults, seed=1, clocks=(), fetch_gb_per_s=1.0):
         scenario = load(str(WHERE / "cancelled-unheard.toml"))
         scenario.faults = [msgspec.convert(fault, Fault) for fault in faults]
--- a/tests/openjd/test_keys.py
+++ b/tests/openjd/test_keys.py
@@ -138,7 +138,8 @@
     other = Authority.init(str(tmp_path / "b"), "b", 10)
     authority.issue("gateway-2", SERVER, 5, ["127.0.0.1"])
     with pytest.raises(KeyTrouble, match="not signed"):
-        Tls(*files_of(authority, "gateway-2")[:3], files_of(other)[3])
+        # The decorator of Twisted's interfaces hides the arguments.
+        Tls(*files_of(authority, "gateway-2")[:3], files_of(other)[3])  # type: ignore[call-arg]
 
 
 ASKED = [
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -398,7 +398,7 @@
     def full(file):
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(files.os, "fsync", full)
+    monkeypatch.setattr(os, "fsync", full)
     with pytest.raises(OSError, match="No space"):
         files.write_snapshot(str(tmp_path), header, lines, 10**6)
     assert os.listdir(tmp_path) == []
--- a/tests/simulation/test_overlapping_failures.py
+++ b/tests/simulation/test_overlapping_failures.py
@@ -23,6 +23,20 @@
 
 
 class Meeting:
+    """One play in the simulation, and what its scenario notes on the way for the assertions after it."""
+
+    use: dict
+    away: list
+    inside: list
+    sessions: list
+    at_once: int
+    begun: list
+    left: list
+    pinned: list
+    back: list
+    sockets: list
+    parted: list
+
     def __init__(self, base, faults, until, jobs=None, seed=1, limit=None, boot_s=None, **facts):
         """`limit`: of each team, in CPUs; `boot_s`: of each type."""
         scenario = load(str(WHERE / f"{base}.toml"))
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -9,6 +9,7 @@
 import pytest
 
 from meadowcross.common.http import ServerResponse
+from meadowcross.common.types import JobId
 from meadowcross.jobs import messages as jm
 from meadowcross.jobs.api import JobApi, job_response
 from meadowcross.jobs.job_table import Job
@@ -16,6 +17,7 @@
 from meadowcross.leadership.scheduling_loop import SchedulingLoop
 from meadowcross.leadership.scheduling_view import SchedulingView
 from meadowcross.placement import engine
+from meadowcross.placement.model import QuotaHeadroom
 from meadowcross.store import group_commit
 from meadowcross.workers.registry import WorkerRegistry
 from simulation.scenario import ScenarioError, load
@@ -86,7 +88,7 @@
 def no_limits(monkeypatch):
     rooms = SchedulingView.quota_headroom
     monkeypatch.setattr(
-        SchedulingView, "quota_headroom", lambda self: {n: engine.QuotaHeadroom(1e15, 1e15) for n in rooms(self)}
+        SchedulingView, "quota_headroom", lambda self: {n: QuotaHeadroom(1e15, 1e15) for n in rooms(self)}
     )
 
 
@@ -96,7 +98,7 @@
 
 def cancels_unwritten(monkeypatch):
     async def cancel(self, job):
-        return job_response(jm.JobId(job), jm.JobState.CANCELLED, 0, 0)
+        return job_response(JobId(job), jm.JobState.CANCELLED, 0, 0)
 
     monkeypatch.setattr(JobApi, "cancel", cancel)
 
@@ -107,14 +109,14 @@
 
 def accepted_unstored(monkeypatch):
     async def submit(self, body):
-        return job_response(jm.JobId(json.loads(body)["id"]), jm.JobState.PENDING, 0, 0, 201)
+        return job_response(JobId(json.loads(body)["id"]), jm.JobState.PENDING, 0, 0, 201)
 
     monkeypatch.setattr(JobApi, "submit", submit)
 
 
 def everything_pending(monkeypatch):
     async def query(self, job):
-        return job_response(jm.JobId(job), jm.JobState.PENDING, 0, 0)
+        return job_response(JobId(job), jm.JobState.PENDING, 0, 0)
 
     monkeypatch.setattr(JobApi, "query", query)
 
--- a/tests/test_wire_samples.py
+++ b/tests/test_wire_samples.py
@@ -6,6 +6,7 @@
 import importlib
 import json
 import pkgutil
+from typing import Any
 
 import msgspec
 import pytest
@@ -130,6 +131,11 @@
     return b"%d:%s," % (len(body), body)
 
 
+class TcpTransport(StringTransport):
+    def setTcpNoDelay(self, on):
+        """Nothing to set."""
+
+
 @pytest.mark.parametrize(
     ("question", "answer"),
     [
@@ -141,9 +147,9 @@
     reactor = MemoryReactorClock()
     link = connect_quiet_node(PeerLink(reactor, []))
     link.start(reactor, "127.0.0.1:1")
-    line = reactor.tcpServers[0][1].buildProtocol(None)
-    transport = StringTransport()
-    transport.setTcpNoDelay = lambda on: None
+    factory: Any = reactor.tcpServers[0][1]
+    line = factory.buildProtocol(None)
+    transport = TcpTransport()
     line.makeConnection(transport)
     line.dataReceived(framed(SAMPLES[question]["full"]))
     assert transport.value() == framed(answer)
