--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -0,0 +1,1 @@
+"""Tests, arranged as the packages that they test."""
--- a/tests/replication/__init__.py
+++ b/tests/replication/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `meadowcross.replication`."""
