--- a/meadowcross/leadership/term_base.py
+++ b/meadowcross/leadership/term_base.py
@@ -47,7 +47,7 @@
 from meadowcross.store.client import StoreClient
 from meadowcross.store.group_commit import GroupCommitter
 from meadowcross.workers import messages as wm
-from meadowcross.workers.dispatcher import CommandDispatcher
+from meadowcross.workers.dispatcher import CommandDispatcher, DispatchHandlers
 from meadowcross.workers.health import FailureTracker
 from meadowcross.workers.machine import Machine
 from meadowcross.workers.registry import WorkerRegistry
@@ -129,10 +129,12 @@
             relay_pool.send_commands if relay_pool is not None else direct_sender(http),
             self.worker_registry,
             token,
-            self._on_command_response,
-            self._on_start_not_sent,
-            self._may_start,
-            lambda: 1 + (relay_pool.relay_count if relay_pool is not None else 0),
+            DispatchHandlers(
+                self._on_command_response,
+                self._on_start_not_sent,
+                self._may_start,
+                lambda: 1 + (relay_pool.relay_count if relay_pool is not None else 0),
+            ),
         )
         self.job_writer = JobWriter(
             reactor,
--- a/meadowcross/workers/api.py
+++ b/meadowcross/workers/api.py
@@ -1,4 +1,7 @@
-"""Workers' reports at any node: the leader takes them, relays take them for it, others name the leader."""
+"""The HTTP interface for workers' heartbeats, at each node.
+
+The leader handles them, a relay answers or forwards them for the leader, any other node names the leader.
+"""
 
 from __future__ import annotations
 
@@ -9,21 +12,33 @@
 
 from meadowcross.common.http import Router, ServerResponse, error_response
 from meadowcross.common.types import FencingToken, NodeName
-from meadowcross.workers import messages as m
 from meadowcross.workers.heartbeat_tracker import HeartbeatTracker
+from meadowcross.workers.messages import (
+    Heartbeat,
+    HeartbeatResponse,
+    Redirect,
+    decode_heartbeat,
+    decode_heartbeat_header,
+    encode,
+)
+
+HTTP_OK, HTTP_BAD_REQUEST, HTTP_MISDIRECTED_REQUEST = 200, 400, 421
 
-HandleHeartbeat = Callable[[m.Heartbeat], m.HeartbeatResponse | m.Redirect | None]
+HandleHeartbeat = Callable[[Heartbeat], HeartbeatResponse | Redirect | None]
+"""The leader's handler; None: it does not lead any more."""
 
 
 class HeartbeatRelay(Protocol):
-    """Of a relay, what workers' reports need."""
+    """The part of a relay that the interface needs; see `meadowcross.relay.relay.Relay`."""
 
     def active_grant(self) -> object | None: ...
-    def answer_unchanged(self, heartbeat: m.Heartbeat) -> ServerResponse | None: ...
-    async def forward_heartbeat(self, heartbeat: m.Heartbeat, body: bytes) -> ServerResponse | None: ...
+    def answer_unchanged(self, heartbeat: Heartbeat) -> ServerResponse | None: ...
+    async def forward_heartbeat(self, heartbeat: Heartbeat, body: bytes) -> ServerResponse | None: ...
 
 
 class WorkerApi:
+    """Handles `POST /checkin`."""
+
     def __init__(
         self,
         leader_handler: Callable[[], HandleHeartbeat | None],
@@ -32,6 +47,8 @@
         on_token_seen: Callable[[FencingToken], None] = lambda token: None,
         relay: HeartbeatRelay | None = None,
     ) -> None:
+        """`leader_handler` returns the handler while this node leads; `leader_name` the leader that this node knows;
+        `on_token_seen` is called with the token of each heartbeat."""
         self._relay = relay
         self._on_token_seen = on_token_seen
         self._leader_handler = leader_handler
@@ -39,40 +56,50 @@
         self._tracker = tracker
 
     def add_routes(self, router: Router) -> None:
+        """Add the path of heartbeats."""
         router.add("POST", r"/checkin", self.handle_heartbeat)
 
     def handle_heartbeat(self, body: bytes) -> ServerResponse | Awaitable[ServerResponse]:
+        """Answer one heartbeat: 200, 400 if malformed, 421 elsewhere, or what the leader answered through the relay."""
         handle = self._leader_handler()
         relay = self._relay if self._relay is not None and self._relay.active_grant() is not None else None
         try:
-            if handle is None and relay is not None:
-                return self._answer_as_relay(relay, m.decode_heartbeat(body), body)
-            if handle is None:
-                header = m.decode_heartbeat_header(body)
-                self._tracker.record(header.machine, header.version)
-                self._on_token_seen(header.token)
-            else:
-                heartbeat = m.decode_heartbeat(body)
-                self._tracker.record(heartbeat.machine, heartbeat.version)
-                self._on_token_seen(heartbeat.token)
-                response = handle(heartbeat)
-                if isinstance(response, m.Redirect):
-                    return ServerResponse(421, m.encode(response) + b"\n")
-                if response is not None:
-                    return ServerResponse(200, m.encode(response) + b"\n")
+            if handle is not None:
+                return self._answer_as_leader(handle, decode_heartbeat(body))
+            if relay is not None:
+                return self._answer_as_relay(relay, decode_heartbeat(body), body)
+            return self._answer_elsewhere(body)
         except msgspec.DecodeError as error:
-            return error_response(400, str(error))
+            return error_response(HTTP_BAD_REQUEST, str(error))
+
+    def _answer_as_leader(self, handle: HandleHeartbeat, heartbeat: Heartbeat) -> ServerResponse:
+        self._tracker.record(heartbeat.machine, heartbeat.version)
+        self._on_token_seen(heartbeat.token)
+        response = handle(heartbeat)
+        if isinstance(response, HeartbeatResponse):
+            return ServerResponse(HTTP_OK, encode(response) + b"\n")
+        return self._redirect() if response is None else _misdirected(response)
+
+    def _answer_elsewhere(self, body: bytes) -> ServerResponse:
+        """As a node that neither leads nor relays: only the header is decoded."""
+        header = decode_heartbeat_header(body)
+        self._tracker.record(header.machine, header.version)
+        self._on_token_seen(header.token)
         return self._redirect()
 
     def _redirect(self) -> ServerResponse:
-        return ServerResponse(421, m.encode(m.Redirect(self._leader_name())) + b"\n")
+        return _misdirected(Redirect(self._leader_name()))
 
     def _answer_as_relay(
-        self, relay: HeartbeatRelay, heartbeat: m.Heartbeat, body: bytes
+        self, relay: HeartbeatRelay, heartbeat: Heartbeat, body: bytes
     ) -> ServerResponse | Awaitable[ServerResponse]:
-        self._tracker.record(heartbeat.machine, heartbeat.version, True)
+        self._tracker.record(heartbeat.machine, heartbeat.version, is_relayed=True)
         self._on_token_seen(heartbeat.token)
         return relay.answer_unchanged(heartbeat) or self._forward(relay, heartbeat, body)
 
-    async def _forward(self, relay: HeartbeatRelay, heartbeat: m.Heartbeat, body: bytes) -> ServerResponse:
+    async def _forward(self, relay: HeartbeatRelay, heartbeat: Heartbeat, body: bytes) -> ServerResponse:
         return await relay.forward_heartbeat(heartbeat, body) or self._redirect()
+
+
+def _misdirected(redirect: Redirect) -> ServerResponse:
+    return ServerResponse(HTTP_MISDIRECTED_REQUEST, encode(redirect) + b"\n")
--- a/meadowcross/workers/messages.py
+++ b/meadowcross/workers/messages.py
@@ -1,4 +1,7 @@
-"""What workers and a node exchange; wire names stay here."""
+"""Messages between workers and controllers, as PROTOCOL-meadowcross.md describes them.
+
+The wire names appear in this module only; everywhere else the names of the fields are used. Durations are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -12,6 +15,8 @@
 
 
 class TaskState(Enum):
+    """How far a task on a worker has come."""
+
     FETCHING = "fetching"
     WAITING = "waiting"
     RUNNING = "running"
@@ -20,6 +25,8 @@
 
 
 class TaskReport(Struct):
+    """A task on a worker, until it is reaped; `exit_reason` is one of the `EXIT_` constants once it ended."""
+
     task: str = field(name="head")
     attempt: int = field(name="round")
     state: TaskState = field(name="standing")
@@ -28,6 +35,11 @@
 
 
 class Heartbeat(Struct):
+    """A worker's heartbeat, or its status as the response to direct commands.
+
+    `token` is the highest that the worker has seen; `notice_s` the time until the cloud reclaims its machine.
+    """
+
     machine: MachineId = field(name="stall")
     address: Address = field(name="addr")
     machine_type: str = field(name="build")
@@ -41,11 +53,12 @@
 
     @property
     def version(self) -> HeartbeatVersion:
+        """Orders the statuses of one worker."""
         return HeartbeatVersion(self.incarnation, self.seq)
 
 
 class HeartbeatHeader(Struct):
-    """Of a report, whose and which it is and the highest token seen: all that a node that does not lead reads."""
+    """The fields of a heartbeat that a node which does not lead reads; the rest of the body is skipped."""
 
     machine: MachineId = field(name="stall")
     token: FencingToken = field(name="crook", default=FencingToken(0))
@@ -54,6 +67,7 @@
 
     @property
     def version(self) -> HeartbeatVersion:
+        """Orders the statuses of one worker."""
         return HeartbeatVersion(self.incarnation, self.seq)
 
 
@@ -67,6 +81,8 @@
 
 
 class Command(Struct, omit_defaults=True):
+    """One command to a worker; `grace_s` belongs to a stop."""
+
     op: Literal["start", "stop", "reap"] = field(name="call")
     task: str = field(name="head")
     attempt: int = field(name="round")
@@ -74,14 +90,14 @@
 
 
 class HeartbeatResponse(Struct):
-    """The answer to a report."""
+    """The response to a heartbeat."""
 
     token: FencingToken = field(name="crook")
     commands: list[Command] = field(name="calls")
 
 
 class DirectCommands(Struct):
-    """Commands sent to a worker's own address."""
+    """Commands sent to a worker's own address; rejected by any other incarnation of it."""
 
     token: FencingToken = field(name="crook")
     incarnation: int = field(name="tenure")
@@ -89,7 +105,7 @@
 
 
 class Redirect(Struct, omit_defaults=True):
-    """With a 421: the node to report to, where it is known."""
+    """The body of a 421: the node to send heartbeats to, if it is known."""
 
     report_to: NodeName | None = field(name="drover", default=None)
 
