--- a/meadowcross/placement/__init__.py
+++ b/meadowcross/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Placement decisions over a snapshot: scoring, placement, preemption and the descheduler. Pure but for the planner."""
+"""Placement, preemption and descheduling over a snapshot; only the preemption planner keeps state between passes."""
--- a/meadowcross/placement/constrained.py
+++ b/meadowcross/placement/constrained.py
@@ -1,4 +1,4 @@
-"""Placement of jobs whose tasks depend on each other's place: one zone, spread over zones, gangs."""
+"""Placement of jobs with topology constraints: tasks in one zone, spread over zones, or placed together as a gang."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from meadowcross.placement.scoring import SLOW_FETCH_S, fetch_tier, score
 
 OWN_FETCH_TIER = -1
-"""The negated tier of a machine where a service's replica would begin a fetch of its own."""
+"""Negated fetch tier of a machine where a service's replica would begin a fetch of its own."""
 JOINED_FETCH_TIER = -2
-"""The negated tier of a machine where a service's replica would join the fetch of its image."""
+"""Negated fetch tier of a machine where a service's replica would join a fetch of its image that is under way."""
 
 
-class _Quality(NamedTuple):
-    """How good a set of machines is: more by its fetch tiers (negated, so that higher is better) than by its score."""
+class _SelectionQuality(NamedTuple):
+    """Quality of a set of machines: the sum of the negated fetch tiers, then of the scores; higher is better."""
 
     tier: int
     score: float
 
 
-class _Pick(NamedTuple):
+class _MachineChoice(NamedTuple):
     """The machine chosen for one task, with its negated fetch tier and its score."""
 
     tier: int
@@ -33,44 +33,44 @@
 
 
 def place_constrained(
-    pending_job: PendingJob, fitting: list[Candidate], count: int, weights: OperatorSettings
+    pending_job: PendingJob, candidates: list[Candidate], count: int, weights: OperatorSettings
 ) -> list[MachineId]:
-    """Choose machines for up to `count` tasks within the job's zones, and allocate them.
+    """Choose machines for up to `count` tasks under the job's topology constraints, and allocate their resources.
 
-    A gang's tasks are all placed or none are.
+    Returns one machine id for each task; for a gang, `count` ids or none.
     """
     spec = pending_job.spec
     if pending_job.requires_cached_image:
-        fitting = [candidate for candidate in fitting if spec.image in candidate.cached_images]
+        candidates = [candidate for candidate in candidates if spec.image in candidate.cached_images]
     best: list[MachineId] = []
-    best_quality = _Quality(0, 0.0)
-    for group in _groups_to_try(pending_job, fitting):
-        quality, machines = _place_greedily(pending_job, group, count, weights)
+    best_quality = _SelectionQuality(0, 0.0)
+    for candidate_group in _split_by_allowed_zones(pending_job, candidates):
+        quality, machines = _select_greedily(pending_job, candidate_group, count, weights)
         if has_sibling_traffic(spec) and len(machines) < count:
             continue
         if machines and (not best or (len(machines), quality) > (len(best), best_quality)):
             best, best_quality = machines, quality
     if best:
-        _allocate(spec, best, fitting)
+        _allocate_tasks(spec, best, candidates)
     return best
 
 
-def _groups_to_try(pending_job: PendingJob, fitting: list[Candidate]) -> list[list[Candidate]]:
-    """Return the sets of machines of which the job may use one: one a zone for a job of one zone, else all.
+def _split_by_allowed_zones(pending_job: PendingJob, candidates: list[Candidate]) -> list[list[Candidate]]:
+    """Return the sets of candidates of which the job may use one: a set for each zone if it needs one zone, else all.
 
-    Members that are not proven gone hold a job of one zone in theirs.
+    Siblings that are not proven to be gone bind a one-zone job to their zone.
     """
     if not pending_job.spec.one_zone:
-        return [fitting]
-    held_zones = {zone for zone, _ in pending_job.siblings.values()}
-    if len(held_zones) > 1:
+        return [candidates]
+    sibling_zones = {zone for zone, _ in pending_job.siblings.values()}
+    if len(sibling_zones) > 1:
         return []
-    zones = sorted(held_zones or {candidate.kind.zone for candidate in fitting})
-    return [[candidate for candidate in fitting if candidate.kind.zone == zone] for zone in zones]
+    zones = sorted(sibling_zones or {candidate.kind.zone for candidate in candidates})
+    return [[candidate for candidate in candidates if candidate.kind.zone == zone] for zone in zones]
 
 
-def _allocate(spec: JobSpec, machines: list[MachineId], fitting: list[Candidate]) -> None:
-    by_machine = {candidate.machine: candidate for candidate in fitting}
+def _allocate_tasks(spec: JobSpec, machines: list[MachineId], candidates: list[Candidate]) -> None:
+    by_machine = {candidate.machine: candidate for candidate in candidates}
     for machine in machines:
         candidate = by_machine[machine]
         candidate.allocate(spec)
@@ -78,53 +78,57 @@
             candidate.fetching_images.add(spec.image)
 
 
-def _place_greedily(
-    pending_job: PendingJob, group: list[Candidate], count: int, weights: OperatorSettings
-) -> tuple[_Quality, list[MachineId]]:
-    """Choose a machine for one task after the other, and return how good the choice is.
+def _select_greedily(
+    pending_job: PendingJob, candidate_group: list[Candidate], count: int, weights: OperatorSettings
+) -> tuple[_SelectionQuality, list[MachineId]]:
+    """Choose a machine for one task after the other; return the quality of the selection and its machines.
 
-    The candidates are as before when this returns.
+    The resources allocated meanwhile are released before the function returns.
     """
-    attempt = _GreedyAttempt(pending_job, group, weights)
-    total_tier, total_score = 0, 0.0
-    picked: list[Candidate] = []
+    selection = _GreedySelection(pending_job, candidate_group, weights)
+    tier_sum, score_sum = 0, 0.0
+    chosen: list[Candidate] = []
     for _ in range(count):
-        pick = attempt.pick_next()
-        if pick is None:
+        choice = selection.choose_next()
+        if choice is None:
             break
-        attempt.assign(pick.candidate)
-        total_tier += pick.tier
-        total_score += pick.score
-        picked.append(pick.candidate)
-    for candidate in picked:
+        selection.assign_task(choice.candidate)
+        tier_sum += choice.tier
+        score_sum += choice.score
+        chosen.append(choice.candidate)
+    for candidate in chosen:
         candidate.release(pending_job.spec)
-    return _Quality(total_tier, total_score), [candidate.machine for candidate in picked]
+    return _SelectionQuality(tier_sum, score_sum), [candidate.machine for candidate in chosen]
 
 
-class _GreedyAttempt:
-    """The state of one greedy choice: where the job's tasks are so far."""
+class _GreedySelection:
+    """State of one greedy selection: the machines and zones of the job's tasks so far."""
 
-    def __init__(self, pending_job: PendingJob, group: list[Candidate], weights: OperatorSettings) -> None:
+    def __init__(self, pending_job: PendingJob, candidate_group: list[Candidate], weights: OperatorSettings) -> None:
         self._spec = spec = pending_job.spec
-        self._group = group
+        self._candidates = candidate_group
         self._weights = weights
-        # With quick fetches the zones and the score alone decide, as in the paper.
+        # With fast fetches only the zones and the score decide, as in the paper.
         self._is_slow_fetch = pending_job.image_fetch_s >= SLOW_FETCH_S
         self._tiers = {
-            candidate.machine: -fetch_tier(pending_job, candidate) if self._is_slow_fetch else 0 for candidate in group
+            candidate.machine: -fetch_tier(pending_job, candidate) if self._is_slow_fetch else 0
+            for candidate in candidate_group
         }
         self._siblings = dict(pending_job.siblings)
         self._count_by_zone: Counter[str] = pending_job.count_siblings_by_zone()
-        # Half of all the job's tasks, rounded up, however many of them are placed.
+        # Half of all tasks of the job, rounded up, regardless of how many of them are placed.
         self._max_per_zone = (spec.tasks + 1) // 2 if spec.spread else UNBOUNDED_TASKS
 
-    def pick_next(self) -> _Pick | None:
-        """Return the best machine for the next task: lowest fetch tier, then highest score, then first."""
+    def choose_next(self) -> _MachineChoice | None:
+        """Return the best machine for the next task, None if no machine is left.
+
+        The lowest fetch tier wins, then the highest score, then the first candidate.
+        """
         spec, weights, siblings = self._spec, self._weights, self._siblings
         count_by_zone, max_per_zone, tiers = self._count_by_zone, self._max_per_zone, self._tiers
         best: Candidate | None = None
         best_tier, best_score = 0, 0.0
-        for candidate in self._group:
+        for candidate in self._candidates:
             if count_by_zone[candidate.kind.zone] >= max_per_zone or not candidate.fits(spec):
                 continue
             tier = tiers[candidate.machine]
@@ -133,15 +137,15 @@
             candidate_score = score(spec, candidate, siblings, weights)
             if best is None or (tier, candidate_score) > (best_tier, best_score):
                 best, best_tier, best_score = candidate, tier, candidate_score
-        return None if best is None else _Pick(best_tier, best_score, best)
+        return None if best is None else _MachineChoice(best_tier, best_score, best)
 
-    def assign(self, candidate: Candidate) -> None:
-        """Count one task of the job on the machine."""
+    def assign_task(self, candidate: Candidate) -> None:
+        """Allocate one task of the job on the candidate, and count it as a sibling of the next tasks."""
         machine, zone = candidate.machine, candidate.kind.zone
         candidate.allocate(self._spec)
         if self._is_slow_fetch and self._spec.kind is JobKind.SERVICE and self._tiers[machine] == OWN_FETCH_TIER:
-            # Its next replica would join the fetch that this one begins.
+            # The next replica on this machine would join the fetch that this replica begins.
             self._tiers[machine] = JOINED_FETCH_TIER
         self._count_by_zone[zone] += 1
-        known_zone, sibling_count = self._siblings.get(machine, (zone, 0))
-        self._siblings[machine] = (known_zone, sibling_count + 1)
+        sibling_zone, sibling_count = self._siblings.get(machine, (zone, 0))
+        self._siblings[machine] = (sibling_zone, sibling_count + 1)
--- a/meadowcross/placement/descheduler.py
+++ b/meadowcross/placement/descheduler.py
@@ -1,4 +1,4 @@
-"""The periodic pass that moves service replicas off crowded machines (the paper's descheduler).
+"""The descheduler: selects service replicas to move off crowded machines (as in the paper).
 
 Pure functions over a snapshot.
 """
@@ -16,12 +16,12 @@
 
 @dataclass(slots=True)
 class ServiceReplica:
-    """A running replica of a service."""
+    """A running replica of a service that may be moved."""
 
     key: object
-    """The caller's handle of the replica."""
+    """Opaque handle by which the caller identifies the replica."""
     pending_job: PendingJob
-    """Its job, as if the replica were to be placed: `siblings` is without the replica itself."""
+    """The job as if the replica were still to be placed: `siblings` does not include the replica."""
     machine: MachineId
     age_s: Seconds
 
@@ -32,43 +32,44 @@
     usage: dict[MachineId, float],
     weights: OperatorSettings,
 ) -> list[ServiceReplica]:
-    """Return the replicas to move, at most one a service.
+    """Return the replicas to move, at most one for each service.
 
-    A replica moves if it is old enough, its machine is used above the threshold (`usage` is the share of each
-    machine's CPUs), and another machine's score leads by enough points.
+    A replica is moved if it is older than `move_age_s`, if more than `move_usage_percent` of its machine's CPUs are
+    in use (`usage` is the share in use, from 0 to 1), and if another machine's score is higher by at least
+    `move_lead_points`.
     """
     by_machine = {candidate.machine: candidate for candidate in candidates}
-    chosen: dict[JobId, ServiceReplica] = {}
+    selected: dict[JobId, ServiceReplica] = {}
     for replica in replicas:
-        current = by_machine.get(replica.machine)
+        current_candidate = by_machine.get(replica.machine)
         if (
-            current is None
-            or replica.pending_job.job_id in chosen
+            current_candidate is None
+            or replica.pending_job.job_id in selected
             or replica.age_s <= weights.move_age_s
             or usage.get(replica.machine, 0.0) * 100 <= weights.move_usage_percent
         ):
             continue
-        if _has_better_machine(replica.pending_job, current, by_machine.values(), weights):
-            chosen[replica.pending_job.job_id] = replica
-    return list(chosen.values())
+        if _has_better_machine(replica.pending_job, current_candidate, by_machine.values(), weights):
+            selected[replica.pending_job.job_id] = replica
+    return list(selected.values())
 
 
 def _has_better_machine(
-    job: PendingJob, current: Candidate, candidates: Iterable[Candidate], weights: OperatorSettings
+    pending_job: PendingJob, current_candidate: Candidate, candidates: Iterable[Candidate], weights: OperatorSettings
 ) -> bool:
-    """Return whether another machine that may run the replica leads its own by enough points.
+    """Return whether another machine that may run the replica scores higher by at least `move_lead_points`.
 
-    What the replica uses counts as free on its own machine.
+    The resources of the replica count as free on its current machine.
     """
-    spec = job.spec
-    current.release(spec)
-    current_score = score(spec, current, job.siblings, weights)
-    current.allocate(spec)
-    for other in candidates:
-        if other is current or not is_kind_allowed(spec, other.kind) or not other.fits(spec):
+    spec = pending_job.spec
+    current_candidate.release(spec)
+    current_score = score(spec, current_candidate, pending_job.siblings, weights)
+    current_candidate.allocate(spec)
+    for candidate in candidates:
+        if candidate is current_candidate or not is_kind_allowed(spec, candidate.kind) or not candidate.fits(spec):
             continue
-        if spec.one_zone and other.kind.zone != current.kind.zone:
+        if spec.one_zone and candidate.kind.zone != current_candidate.kind.zone:
             continue
-        if score(spec, other, job.siblings, weights) >= current_score + weights.move_lead_points:
+        if score(spec, candidate, pending_job.siblings, weights) >= current_score + weights.move_lead_points:
             return True
     return False
--- a/meadowcross/placement/engine.py
+++ b/meadowcross/placement/engine.py
@@ -1,4 +1,4 @@
-"""Placement: filter, score and choose machines for pending jobs. Pure functions over a snapshot."""
+"""Placement: filters, scores and chooses machines for pending jobs. Pure functions over a snapshot."""
 
 from __future__ import annotations
 
@@ -36,52 +36,52 @@
 ) -> list[Decision]:
     """Choose machines for as many tasks as fit, in queue order.
 
-    The candidates and the headroom are changed by what is placed.
+    Resources and quota of the placed tasks are subtracted from `candidates` and `headroom_by_team`.
     """
-    available = list(candidates)
-    full_shapes: set[TaskShape] = set()
+    available_candidates = list(candidates)
+    unplaceable_shapes: set[TaskShape] = set()
     decisions: list[Decision] = []
     for pending_job in sorted(pending_jobs, key=queue_order):
         spec = pending_job.spec
         shape = task_shape(spec)
         is_constrained = has_topology_constraints(spec)
-        if not is_constrained and shape in full_shapes:
+        if not is_constrained and shape in unplaceable_shapes:
             continue
         headroom = headroom_by_team[spec.team]
         count = _count_placeable(pending_job, headroom)
         if count == 0:
             continue
-        fitting = _filter(available, pending_job, reservations)
+        fitting_candidates = _filter_candidates(available_candidates, pending_job, reservations)
         if is_constrained:
-            machines = place_constrained(pending_job, fitting, count, weights)
+            machines = place_constrained(pending_job, fitting_candidates, count, weights)
         else:
-            machines = _place_unconstrained(pending_job, fitting, count, weights)
+            machines = _place_unconstrained(pending_job, fitting_candidates, count, weights)
             if len(machines) < count and not pending_job.requires_cached_image:
-                full_shapes.add(shape)
+                unplaceable_shapes.add(shape)
         if machines:
             headroom.consume(spec, len(machines))
             decisions.append(Decision(pending_job.job_id, machines))
-            # A machine that is full now is not looked at again for each of the jobs behind.
-            available = [candidate for candidate in available if candidate.free_cpus > EPSILON]
+            # Full machines are dropped here instead of being filtered again for each later job.
+            available_candidates = [candidate for candidate in available_candidates if candidate.free_cpus > EPSILON]
     return decisions
 
 
 def _count_placeable(pending_job: PendingJob, headroom: QuotaHeadroom) -> int:
-    """Return how many tasks the team's quota allows; none of a gang that it does not allow whole."""
+    """Return how many of the waiting tasks the team's quota allows; 0 for a gang if it does not allow all of them."""
     count = min(pending_job.task_count, headroom.max_tasks(pending_job.spec))
     if has_sibling_traffic(pending_job.spec) and count < pending_job.task_count:
         return 0
     return count
 
 
-def _filter(
-    available: list[Candidate], pending_job: PendingJob, reservations: Mapping[MachineId, Reservation]
+def _filter_candidates(
+    available_candidates: list[Candidate], pending_job: PendingJob, reservations: Mapping[MachineId, Reservation]
 ) -> list[Candidate]:
-    """Return the machines that may run a task of the job and have room for one."""
+    """Return the candidates that may run a task of the job and have the resources for one."""
     spec = pending_job.spec
     return [
         candidate
-        for candidate in available
+        for candidate in available_candidates
         if is_kind_allowed(spec, candidate.kind)
         and candidate.fits(spec)
         and may_use_machine(pending_job, reservations.get(candidate.machine))
@@ -89,11 +89,11 @@
 
 
 def _place_unconstrained(
-    pending_job: PendingJob, fitting: list[Candidate], count: int, weights: OperatorSettings
+    pending_job: PendingJob, fitting_candidates: list[Candidate], count: int, weights: OperatorSettings
 ) -> list[MachineId]:
-    """Give each task to the highest score, machines with the image first (docs/design.md).
+    """Place each task on the machine with the lowest fetch tier, then the highest score (docs/design.md).
 
-    The heap holds one entry a machine; only the machine that took a task is scored again.
+    The heap holds one entry for each machine; only the machine that received a task is scored again.
     """
     spec = pending_job.spec
     machines: list[MachineId] = []
@@ -103,7 +103,7 @@
 
     heap = [
         heap_entry(candidate)
-        for candidate in fitting
+        for candidate in fitting_candidates
         if not pending_job.requires_cached_image or spec.image in candidate.cached_images
     ]
     heapq.heapify(heap)
--- a/meadowcross/placement/model.py
+++ b/meadowcross/placement/model.py
@@ -11,14 +11,14 @@
 from meadowcross.jobs.messages import JobKind, JobSpec
 
 UNBOUNDED_TASKS = 10**9
-"""Stands for no limit on a number of tasks."""
+"""A task count that means no limit."""
 UNLIMITED_QUOTA = 1e12
-"""A headroom of at least this much belongs to a team without a limit."""
+"""A headroom of at least this amount (CPUs or GPUs) means that the team has no limit."""
 
 
 @dataclass(slots=True)
 class Candidate:
-    """A machine that passed the filter on its state, and what is free on it.
+    """A schedulable machine and its free resources.
 
     Machines that are draining, silent or being decommissioned are never candidates.
     """
@@ -30,10 +30,10 @@
     free_memory_gb: float
     cached_images: set[str]
     fetching_images: set[str] = field(default_factory=set)
-    """Images that are being fetched there; they share the machine's fetch rate."""
+    """Images that the machine is fetching; the fetches share its fetch rate."""
 
     def fits(self, spec: JobSpec) -> bool:
-        """Return whether one more task of the job fits into what is free."""
+        """Return whether one more task of the job fits into the free resources."""
         return (
             spec.cpus <= self.free_cpus + EPSILON
             and spec.gpus <= self.free_gpus + EPSILON
@@ -41,13 +41,13 @@
         )
 
     def allocate(self, spec: JobSpec) -> None:
-        """Take the resources of one task of the job from what is free."""
+        """Subtract the resources of one task of the job from the free resources."""
         self.free_cpus -= spec.cpus
         self.free_gpus -= spec.gpus
         self.free_memory_gb -= spec.memory_gb
 
     def release(self, spec: JobSpec) -> None:
-        """Give back the resources of one task of the job."""
+        """Add the resources of one task of the job to the free resources."""
         self.free_cpus += spec.cpus
         self.free_gpus += spec.gpus
         self.free_memory_gb += spec.memory_gb
@@ -55,35 +55,38 @@
 
 @dataclass(slots=True)
 class PendingJob:
-    """A job with tasks to place, and where its other tasks run or may still run."""
+    """A job with tasks to place, and the machines where its other tasks run or may still run."""
 
     job_id: JobId
     spec: JobSpec
     task_count: int
     rank: int
-    """The rank of its priority; lower goes first."""
+    """Rank of the job's priority; the lowest rank is placed first."""
     slack_s: Seconds
-    """How long it may still wait and meet the deadline or objective that it goes by."""
+    """How long the job may still wait and meet its deadline or objective."""
     is_retrying: bool = False
     is_borrowing: bool = False
-    """Its team has used up its guarantee."""
+    """Whether the job's team has used up its guarantee."""
     guaranteed_tasks: int = 0
-    """How many of its tasks are still within its team's guarantee."""
+    """How many of the job's tasks are still within its team's guarantee."""
     requires_cached_image: bool = False
-    """Only a machine that holds the image can start it in time, and that is still possible."""
+    """Whether the job can still start in time, but only on a machine that has its image cached."""
     start_slack_s: Seconds = inf
-    """How long it may still wait, its image fetched, and meet its class's objective on the start."""
+    """How long the job may still wait before the image fetch and meet the start objective of its class."""
     expected_run_s: Seconds = 0.0
-    """How long one of its tasks is expected to run."""
+    """Expected run time of one task."""
     is_starved: bool = False
-    """No task of it ever began, or none has run for long: it goes first, an array with one task."""
+    """Whether no task of the job ever began, or none has run for a long time.
+
+    A starved job is placed first; if it is an array, with one task only.
+    """
     image_fetch_s: Seconds = 0.0
-    """How long its image takes to fetch, alone on the machine type with the fastest network."""
+    """Duration of the image fetch if it is the only one on a machine of the type with the fastest network."""
     siblings: dict[MachineId, tuple[str, int]] = field(default_factory=dict)
-    """Per machine: its zone, and how many of the job's tasks count there."""
+    """By machine: its zone, and the number of the job's tasks that count there."""
 
     def count_siblings_by_zone(self) -> Counter[str]:
-        """Return how many of the job's tasks count in each zone."""
+        """Return the number of the job's tasks that count in each zone."""
         counts: Counter[str] = Counter()
         for zone, count in self.siblings.values():
             counts[zone] += count
@@ -92,13 +95,13 @@
 
 @dataclass(slots=True)
 class QuotaHeadroom:
-    """What a team may still use; very large where it has no limit."""
+    """The CPUs and GPUs that a team may still use; at least `UNLIMITED_QUOTA` where the team has no limit."""
 
     cpus: float
     gpus: float
 
     def max_tasks(self, spec: JobSpec) -> int:
-        """Return how many more tasks of the job the quota allows."""
+        """Return how many more tasks of the job the quota allows; `UNBOUNDED_TASKS` without a limit."""
         limit = UNBOUNDED_TASKS
         if spec.cpus > 0 and self.cpus < UNLIMITED_QUOTA:
             limit = min(limit, int((self.cpus + EPSILON) / spec.cpus))
@@ -107,27 +110,30 @@
         return max(0, limit)
 
     def consume(self, spec: JobSpec, count: int) -> None:
-        """Use up the quota of `count` tasks of the job."""
+        """Subtract the quota of `count` tasks of the job."""
         self.cpus -= spec.cpus * count
         self.gpus -= spec.gpus * count
 
 
 class Decision(NamedTuple):
-    """The machines chosen for a job, one entry a task."""
+    """The machines chosen for a job, one entry for each task."""
 
     job_id: JobId
     machines: list[MachineId]
 
 
 class Reservation(NamedTuple):
-    """A machine kept for a job while room is made there; only higher priority may use it meanwhile."""
+    """A machine that is reserved for a job until enough resources are free there.
+
+    Only the job itself and jobs of a lower rank, which is a higher priority, may use it meanwhile.
+    """
 
     job_id: JobId
     rank: int
 
 
 class TaskShape(NamedTuple):
-    """All that decides where a task fits: if one task finds no room, none of the same shape does."""
+    """All properties of a task that decide where it fits: if one task fits nowhere, no task of its shape does."""
 
     cpus: float
     gpus: float
@@ -138,12 +144,12 @@
 
 
 def task_shape(spec: JobSpec) -> TaskShape:
-    """Return the shape of the job's tasks."""
+    """Return the shape that all tasks of the job share."""
     return TaskShape(spec.cpus, spec.gpus, spec.memory_gb, spec.spot, spec.zone, tuple(spec.types or ()))
 
 
 def is_kind_allowed(spec: JobSpec, kind: MachineKind) -> bool:
-    """Return whether the job may run on machines of this type, zone and market."""
+    """Return whether the job may run on machines of this type and zone, and on spot machines if they are."""
     return (
         (spec.spot or not kind.spot)
         and (spec.types is None or kind.type in spec.types)
@@ -152,25 +158,25 @@
 
 
 def has_sibling_traffic(spec: JobSpec) -> bool:
-    """Return whether the job's tasks talk to each other: only a gang's; for others no traffic is known."""
+    """Return whether the job's tasks exchange network traffic: true for gangs; for other jobs no traffic is known."""
     return spec.kind is JobKind.GANG
 
 
 def has_topology_constraints(spec: JobSpec) -> bool:
-    """Return whether the place of one task depends on where the others are."""
+    """Return whether the machine of one task depends on the machines of the job's other tasks."""
     return spec.one_zone or spec.spread or has_sibling_traffic(spec)
 
 
 def may_use_machine(pending_job: PendingJob, reservation: Reservation | None) -> bool:
-    """Return whether a machine's reservation, if there is one, admits the job."""
+    """Return whether the job may use a machine with this reservation; None means no reservation."""
     return reservation is None or reservation.job_id == pending_job.job_id or pending_job.rank < reservation.rank
 
 
 def queue_order(pending_job: PendingJob) -> tuple[bool, int, bool, bool, Seconds, JobId]:
-    """Return the sort key of the queue.
+    """Return the key by which the queue is sorted.
 
-    Starved jobs go first; the others strictly by priority, then jobs within their team's guarantee, then
-    retries, then least slack.
+    Starved jobs come first. All other jobs are sorted strictly by priority, then jobs within their team's guarantee
+    come before borrowing ones, then retries before first attempts, then the least slack.
     """
     return (
         not pending_job.is_starved,
@@ -183,7 +189,7 @@
 
 
 def count_slots(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
-    """Return how many tasks of the job fit into the given resources."""
+    """Return how many tasks of the job fit into the given amounts of resources."""
     limit = cpus / spec.cpus
     if spec.gpus > 0:
         limit = min(limit, gpus / spec.gpus)
--- a/meadowcross/placement/reservations.py
+++ b/meadowcross/placement/reservations.py
@@ -1,4 +1,4 @@
-"""Which machines to reserve for a job until running tasks have left enough room there.
+"""Selects the machines to reserve for a job until running tasks have freed enough resources there.
 
 Pure functions over a snapshot.
 """
@@ -10,16 +10,16 @@
 
 from meadowcross.common.types import MachineId
 from meadowcross.placement.model import Candidate, PendingJob, Reservation, is_kind_allowed
-from meadowcross.placement.victims import Victim, preemptible_by_machine
+from meadowcross.placement.victims import Victim, group_preemptible_by_machine
 
 RESERVED_CAPACITY_FACTOR = 10.0
-"""So many times what the job needs is reserved: a tenth of what runs there ends within a few seconds."""
+"""Multiple of the needed CPUs to reserve: about a tenth of the tasks on a machine end within a few seconds."""
 MIN_RESERVED_MACHINE_FACTOR = 4.0
-"""A machine is worth reserving if the tasks there are so many times as large as one of the job's."""
+"""A machine is reserved only if the preemptible tasks there use at least this multiple of the CPUs of one task."""
 
 
 class _FreeMachine(NamedTuple):
-    """What is free on a machine that may be reserved for a starved job."""
+    """Free resources of a machine that may be reserved for a starved job."""
 
     gpus: float
     cpus: float
@@ -34,18 +34,18 @@
     victims: Iterable[Victim],
     reservations: Mapping[MachineId, Reservation],
 ) -> list[MachineId]:
-    """Return the machines to reserve until tasks that end there by themselves leave room for `missing_tasks`.
+    """Return the machines to reserve until tasks that end there have freed resources for `missing_tasks` tasks.
 
-    Smaller tasks of lower priority would take each piece of room that comes free before it is large enough. On
-    a machine that runs many of them enough room forms soon and little is wasted, so the machines where most
-    runs are reserved, and none that runs only a few.
+    Without a reservation, smaller tasks of lower priority would be placed in the freed resources before they are
+    large enough. On a machine that runs many such tasks enough is freed soon and little is wasted, so the machines
+    with the most preemptible CPUs are reserved, and none that has only a few.
     """
     spec = pending_job.spec
-    by_machine = preemptible_by_machine(pending_job, victims)
+    victims_by_machine = group_preemptible_by_machine(pending_job, victims)
     cpus_by_machine = {
-        candidate.machine: sum(victim.cpus for victim in by_machine[candidate.machine])
+        candidate.machine: sum(victim.cpus for victim in victims_by_machine[candidate.machine])
         for candidate in candidates
-        if candidate.machine in by_machine
+        if candidate.machine in victims_by_machine
         and is_kind_allowed(spec, candidate.kind)
         and candidate.machine not in reservations
     }
@@ -65,13 +65,13 @@
     candidates: Iterable[Candidate],
     reservations: Mapping[MachineId, Reservation],
 ) -> list[MachineId]:
-    """Return the machines with most room to reserve for a job that waited too long, one for each missing task.
+    """Return the machines with the most free resources to reserve for a starved job, one for each missing task.
 
-    A job of one zone gets machines of one zone only: the zone where its tasks are, else where most machines are
-    to be had, then most room.
+    A one-zone job gets machines of one zone only: the zone of its siblings, else the zone with the most machines,
+    then with the most free GPUs and CPUs.
     """
     spec = pending_job.spec
-    free = [
+    free_machines = [
         _FreeMachine(
             candidate.free_gpus if spec.gpus > 0 else 0.0,
             candidate.free_cpus,
@@ -81,13 +81,14 @@
         for candidate in candidates
         if is_kind_allowed(spec, candidate.kind) and candidate.machine not in reservations
     ]
-    free.sort(key=lambda machine: (-machine.gpus, -machine.cpus, machine.machine))
+    free_machines.sort(key=lambda machine: (-machine.gpus, -machine.cpus, machine.machine))
     if not spec.one_zone:
-        return [machine.machine for machine in free[:missing_tasks]]
-    zones = set(pending_job.count_siblings_by_zone()) or {machine.zone for machine in free}
-    groups = [[machine for machine in free if machine.zone == zone][:missing_tasks] for zone in sorted(zones)]
-    return [machine.machine for machine in max(groups, key=_total_room, default=[])]
+        return [machine.machine for machine in free_machines[:missing_tasks]]
+    zones = set(pending_job.count_siblings_by_zone()) or {machine.zone for machine in free_machines}
+    groups = [[machine for machine in free_machines if machine.zone == zone][:missing_tasks] for zone in sorted(zones)]
+    return [machine.machine for machine in max(groups, key=_total_free_resources, default=[])]
 
 
-def _total_room(group: list[_FreeMachine]) -> tuple[int, float, float]:
+def _total_free_resources(group: list[_FreeMachine]) -> tuple[int, float, float]:
+    """Return the number of machines, then the sums of their free GPUs and CPUs, to compare groups by."""
     return len(group), sum(machine.gpus for machine in group), sum(machine.cpus for machine in group)
--- a/meadowcross/placement/scoring.py
+++ b/meadowcross/placement/scoring.py
@@ -1,7 +1,7 @@
-"""The score of a machine for a task (docs/design.md; the paper's Algorithm 1).
+"""Score of a machine for a task (docs/design.md; the paper's Algorithm 1).
 
-The score is gamma times the resource term plus delta times the network term. The paper leaves the
-denominator of its percentage gap open; here it is the machine's free amount, from which the gap is taken.
+The score is gamma times the resource term plus delta times the network term. The paper does not define the
+denominator of its percentage gap; here the denominator is the machine's free amount.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from meadowcross.placement.model import Candidate, PendingJob, has_sibling_traffic
 
 SLOW_FETCH_S: Seconds = 5.0
-"""A longer image fetch decides when the task starts; with a shorter one the score alone decides the machine."""
+"""From this duration on an image fetch decides the choice of the machine; with a shorter one only the score does."""
 
 
 def resource_term(spec: JobSpec, free_cpus: float, free_memory_gb: float, weights: OperatorSettings) -> float:
@@ -25,12 +25,12 @@
 def network_term(
     machine: MachineId, zone: str, siblings: dict[MachineId, tuple[str, int]], weights: OperatorSettings
 ) -> float:
-    """Return minus the sum of traffic times network cost to the siblings' machines."""
+    """Return the negated sum of traffic times network cost to the siblings' machines."""
     cost = 0.0
-    for other, (other_zone, count) in siblings.items():
-        if other == machine:
+    for sibling_machine, (sibling_zone, count) in siblings.items():
+        if sibling_machine == machine:
             cost += count * weights.cost_same_machine
-        elif other_zone == zone:
+        elif sibling_zone == zone:
             cost += count * weights.cost_same_zone
         else:
             cost += count * weights.cost_across_zones
@@ -40,7 +40,7 @@
 def score(
     spec: JobSpec, candidate: Candidate, siblings: dict[MachineId, tuple[str, int]], weights: OperatorSettings
 ) -> float:
-    """Return how well the machine suits one more task of the job; the highest score takes it."""
+    """Return the score of the machine for one more task of the job; higher is better."""
     resources = resource_term(spec, candidate.free_cpus, candidate.free_memory_gb, weights)
     network = 0.0
     if has_sibling_traffic(spec):
@@ -49,11 +49,12 @@
 
 
 def fetch_tier(pending_job: PendingJob, candidate: Candidate) -> int:
-    """Return how soon the task's image is on the machine; machines of a lower tier are chosen before the score counts.
+    """Return the tier of the machine by how soon it can have the task's image; lower tiers are preferred to the score.
 
-    Fetches on one machine share its rate, so that two images fetched there make both late: a machine that
-    fetches another image is the last choice. An array joins a fetch under way, one for many tasks; a service's
-    replica, which must find its image elsewhere when its machine is lost, prefers to begin a fetch of its own.
+    Fetches on one machine share its rate, so two images fetched there delay each other: a machine that fetches
+    another image is in the last tier. The tasks of an array share one fetch, so they prefer a machine that fetches
+    their image already. A service's replica prefers a machine where it begins a fetch of its own, so that the image is
+    on another machine if the replica's machine is lost.
     """
     if pending_job.spec.image in candidate.cached_images:
         return 0
--- a/meadowcross/placement/victims.py
+++ b/meadowcross/placement/victims.py
@@ -1,4 +1,4 @@
-"""Which running tasks may be stopped for a pending job, and which of them lose least.
+"""Selects the running tasks to stop for a pending job so that the least progress is lost.
 
 Pure functions over a snapshot.
 """
@@ -20,38 +20,41 @@
 
 @dataclass(slots=True)
 class Victim:
-    """A running task that may be stopped for other work."""
+    """A running task that may be stopped for another job."""
 
     task_key: object
-    """The caller's handle of the task."""
+    """Opaque handle by which the caller identifies the task."""
     machine: MachineId
     rank: int
     cpus: float
     gpus: float
     memory_gb: float
     lost_cpu_s: float
-    """CPU seconds of progress that stopping it now throws away."""
+    """Progress that is lost if the task is stopped now, in CPU seconds."""
     team: str = ""
     is_borrowed: bool = False
-    """Its team uses more than its guarantee, this task's share of it included."""
+    """Whether the task is part of the usage of its team beyond the team's guarantee."""
     checkpoint_save_s: Seconds | None = None
-    """The time it takes to save a checkpoint; None if it can't."""
+    """Time that saving a checkpoint takes; None if the task can't save one."""
     grace_s: Seconds = 0.0
-    """The time it is given to save a checkpoint, once chosen."""
+    """Time that the task gets to save a checkpoint before it is stopped."""
 
 
 VictimsByMachine = Mapping[MachineId, list[Victim]]
 
 
 class ConstrainedSelection(NamedTuple):
-    """The victims for a job bound by zones, and all the machines to reserve until its room is complete."""
+    """Victims for a job with topology constraints, and all the machines to reserve until the victims have ended."""
 
     victims: list[Victim]
     machines: set[MachineId]
 
 
 class _VictimSet(NamedTuple):
-    """Victims on one machine that together make room for one task. Sets are preferred in the order of the fields."""
+    """Victims on one machine that together free enough resources for one task.
+
+    Sets are sorted by their first three fields, in this order.
+    """
 
     needs_image_fetch: bool
     lost_cpu_s: float
@@ -62,30 +65,30 @@
 def is_preemptible(victim: Victim, pending_job: PendingJob) -> bool:
     """Return whether the task may be stopped for the job.
 
-    Lower priority may; so may work of the same priority that another team runs beyond its guarantee, for work
-    within a guarantee. Higher priority never is: users want the stated priority kept without exception, and the
-    two would take turns stopping each other.
+    Tasks of lower priority may be stopped. Tasks of the same priority may be stopped if another team runs them beyond
+    its guarantee and the job is within the guarantee of its own team. Tasks of higher priority are never stopped: users
+    require that priorities hold without exception, and otherwise the two jobs would preempt each other in turn.
     """
     if victim.rank != pending_job.rank:
         return victim.rank > pending_job.rank
     return victim.is_borrowed and pending_job.guaranteed_tasks > 0 and victim.team != pending_job.spec.team
 
 
-def preemptible_by_machine(pending_job: PendingJob, victims: Iterable[Victim]) -> dict[MachineId, list[Victim]]:
-    """Return the tasks that may be stopped for the job, by machine."""
-    by_machine: dict[MachineId, list[Victim]] = {}
+def group_preemptible_by_machine(pending_job: PendingJob, victims: Iterable[Victim]) -> dict[MachineId, list[Victim]]:
+    """Return the tasks that may be stopped for the job, grouped by machine."""
+    victims_by_machine: dict[MachineId, list[Victim]] = {}
     for victim in victims:
         if is_preemptible(victim, pending_job):
-            by_machine.setdefault(victim.machine, []).append(victim)
-    return by_machine
+            victims_by_machine.setdefault(victim.machine, []).append(victim)
+    return victims_by_machine
 
 
-def preemptible_by_loss(pending_job: PendingJob, victims: Iterable[Victim]) -> dict[MachineId, list[Victim]]:
-    """Return the tasks that may be stopped for the job, by machine, least loss per CPU first."""
-    by_machine = preemptible_by_machine(pending_job, victims)
-    for machine_victims in by_machine.values():
+def group_preemptible_by_loss(pending_job: PendingJob, victims: Iterable[Victim]) -> dict[MachineId, list[Victim]]:
+    """Return the tasks that may be stopped for the job, grouped by machine and sorted by lost progress per CPU."""
+    victims_by_machine = group_preemptible_by_machine(pending_job, victims)
+    for machine_victims in victims_by_machine.values():
         machine_victims.sort(key=_loss_per_cpu)
-    return by_machine
+    return victims_by_machine
 
 
 def _loss_per_cpu(victim: Victim) -> float:
@@ -95,37 +98,38 @@
 def select_victims(
     pending_job: PendingJob, count: int, candidates: Iterable[Candidate], victims: Iterable[Victim]
 ) -> list[Victim]:
-    """Return the victims that make room for `count` tasks of the job, as `select_least_loss`."""
-    return select_least_loss(pending_job, count, candidates, preemptible_by_loss(pending_job, victims))
+    """Group the victims by machine, then select among them as `select_least_loss` does."""
+    return select_least_loss(pending_job, count, candidates, group_preemptible_by_loss(pending_job, victims))
 
 
 def select_least_loss(
-    pending_job: PendingJob, count: int, candidates: Iterable[Candidate], by_machine: VictimsByMachine
+    pending_job: PendingJob, count: int, candidates: Iterable[Candidate], victims_by_machine: VictimsByMachine
 ) -> list[Victim]:
-    """Return the victims that make room for `count` tasks at the least loss, machines with the image first.
+    """Return the victims that free resources for up to `count` tasks with the least lost progress.
 
-    `by_machine` holds the preemptible tasks, least loss per CPU first.
+    Victims on machines that have the image cached are preferred. `victims_by_machine` holds the preemptible tasks,
+    those with the least lost progress per CPU first.
     """
     spec = pending_job.spec
-    options: list[_VictimSet] = []
+    victim_sets: list[_VictimSet] = []
     for candidate in candidates:
-        machine_victims = by_machine.get(candidate.machine)
+        machine_victims = victims_by_machine.get(candidate.machine)
         if machine_victims is None or not is_kind_allowed(spec, candidate.kind):
             continue
         if pending_job.requires_cached_image and spec.image not in candidate.cached_images:
             continue
-        options.extend(_victim_sets(spec, count, candidate, machine_victims))
-    options.sort(key=lambda option: option[:3])
-    return _choose_sets(pending_job, count, options)
+        victim_sets.extend(_build_victim_sets(spec, count, candidate, machine_victims))
+    victim_sets.sort(key=lambda victim_set: victim_set[:3])
+    return _choose_victim_sets(pending_job, count, victim_sets)
 
 
-def _victim_sets(
+def _build_victim_sets(
     spec: JobSpec, count: int, candidate: Candidate, machine_victims: Sequence[Victim]
 ) -> list[_VictimSet]:
-    """Divide the machine's victims, in their order, into sets that each make room for one task, `count` at most."""
+    """Divide the machine's victims, in their order, into at most `count` sets that each free resources for one task."""
     needs_image_fetch = spec.image not in candidate.cached_images
     free_cpus, free_gpus, free_memory_gb = candidate.free_cpus, candidate.free_gpus, candidate.free_memory_gb
-    sets: list[_VictimSet] = []
+    victim_sets: list[_VictimSet] = []
     chosen: list[Victim] = []
     for victim in machine_victims:
         chosen.append(victim)
@@ -137,30 +141,33 @@
             and free_gpus + EPSILON >= spec.gpus
             and free_memory_gb + EPSILON >= spec.memory_gb
         ):
-            lost_cpu_s = sum(stopped.lost_cpu_s for stopped in chosen)
-            sets.append(_VictimSet(needs_image_fetch, lost_cpu_s, candidate.machine, chosen))
-            if len(sets) >= count:
+            lost_cpu_s = sum(chosen_victim.lost_cpu_s for chosen_victim in chosen)
+            victim_sets.append(_VictimSet(needs_image_fetch, lost_cpu_s, candidate.machine, chosen))
+            if len(victim_sets) >= count:
                 break
             free_cpus -= spec.cpus
             free_gpus -= spec.gpus
             free_memory_gb -= spec.memory_gb
             chosen = []
-    return sets
+    return victim_sets
+
 
+def _choose_victim_sets(pending_job: PendingJob, count: int, victim_sets: Iterable[_VictimSet]) -> list[Victim]:
+    """Return the victims of the first `count` sets.
 
-def _choose_sets(pending_job: PendingJob, count: int, options: Iterable[_VictimSet]) -> list[Victim]:
-    """Take the first `count` sets; those with work of the same priority only for tasks within the guarantee."""
+    Sets with a victim of the job's own priority are used only for tasks within the guarantee of the job's team.
+    """
     selected: list[Victim] = []
     guaranteed_left = pending_job.guaranteed_tasks
-    for option in options:
+    for victim_set in victim_sets:
         if count == 0:
             break
-        if any(victim.rank == pending_job.rank for victim in option.victims):
+        if any(victim.rank == pending_job.rank for victim in victim_set.victims):
             if guaranteed_left == 0:
                 continue
             guaranteed_left -= 1
         count -= 1
-        selected.extend(option.victims)
+        selected.extend(victim_set.victims)
     return selected
 
 
@@ -171,25 +178,28 @@
     victims: Iterable[Victim],
     weights: OperatorSettings,
 ) -> ConstrainedSelection:
-    """Return the victims that make room where the job's zones allow it, for a gang all of its room or none."""
+    """Return the victims that free resources for the job under its topology constraints.
+
+    For a gang they free resources for all `count` tasks, or no victims are returned.
+    """
     spec = pending_job.spec
-    by_machine = preemptible_by_machine(pending_job, victims)
-    cleared = [
-        _without(candidate, by_machine.get(candidate.machine, ()))
+    victims_by_machine = group_preemptible_by_machine(pending_job, victims)
+    emptied_candidates = [
+        _without_victims(candidate, victims_by_machine.get(candidate.machine, ()))
         for candidate in candidates
         if is_kind_allowed(spec, candidate.kind)
     ]
-    tasks_by_machine = Counter(place_constrained(pending_job, cleared, count, weights))
+    tasks_by_machine = Counter(place_constrained(pending_job, emptied_candidates, count, weights))
     candidate_by_machine = {candidate.machine: candidate for candidate in candidates}
     selected: list[Victim] = []
     for machine, task_count in tasks_by_machine.items():
-        machine_victims = sorted(by_machine.get(machine, ()), key=_loss_per_cpu)
-        selected.extend(_first_that_make_room(spec, task_count, candidate_by_machine[machine], machine_victims))
+        machine_victims = sorted(victims_by_machine.get(machine, ()), key=_loss_per_cpu)
+        selected.extend(_select_first_sufficient(spec, task_count, candidate_by_machine[machine], machine_victims))
     return ConstrainedSelection(selected, set(tasks_by_machine))
 
 
-def _without(candidate: Candidate, machine_victims: Sequence[Victim]) -> Candidate:
-    """Return the machine as it would be with all the victims gone."""
+def _without_victims(candidate: Candidate, machine_victims: Sequence[Victim]) -> Candidate:
+    """Return a copy of the candidate with the resources of all the victims added to the free ones."""
     return replace(
         candidate,
         free_cpus=candidate.free_cpus + sum(victim.cpus for victim in machine_victims),
@@ -198,10 +208,10 @@
     )
 
 
-def _first_that_make_room(
+def _select_first_sufficient(
     spec: JobSpec, task_count: int, candidate: Candidate, machine_victims: Iterable[Victim]
 ) -> list[Victim]:
-    """Return as many of the victims, in their order, as it takes to make room for the tasks."""
+    """Return as many of the victims, in their order, as are needed to free resources for the tasks."""
     free_cpus, free_gpus, free_memory_gb = candidate.free_cpus, candidate.free_gpus, candidate.free_memory_gb
     chosen: list[Victim] = []
     for victim in machine_victims:
@@ -214,11 +224,12 @@
     return chosen
 
 
-def checkpointable_victims(pending_job: PendingJob, victims: Iterable[Victim]) -> list[Victim]:
-    """Return what other teams run beyond their guarantee and can save, for work of the same priority within one.
+def select_checkpointable_victims(pending_job: PendingJob, victims: Iterable[Victim]) -> list[Victim]:
+    """Return the tasks of the job's priority that other teams run beyond their guarantee and that save checkpoints.
 
-    Stopping it loses no progress, so nothing is gained by waiting until the slack is short: idle-time work of a
-    guest that filled all machines once made a third of the others' jobs late.
+    The list is empty if the job is not within its team's guarantee. Stopping these tasks loses no progress, so
+    waiting until the slack is short gains nothing: low-priority tasks of a borrowing team once filled all machines and
+    made a third of the other teams' jobs late.
     """
     if pending_job.guaranteed_tasks == 0:
         return []
@@ -233,9 +244,9 @@
 
 
 def mark_borrowed(victims: Iterable[Victim], excess_cpus_by_team: dict[str, float]) -> None:
-    """Mark the tasks that each team runs beyond its guarantee: the least important and least costly ones.
+    """Mark the tasks that each team runs beyond its guarantee: those of the lowest priority, then with the least loss.
 
-    `excess_cpus_by_team` is each team's use beyond its guarantee, in CPUs; it is used up by what is marked.
+    `excess_cpus_by_team` is each team's usage beyond its guarantee; the CPUs of the marked tasks are subtracted.
     """
     for victim in sorted(victims, key=lambda victim: (-victim.rank, victim.lost_cpu_s)):
         if excess_cpus_by_team.get(victim.team, 0.0) >= victim.cpus:
@@ -243,9 +254,9 @@
             excess_cpus_by_team[victim.team] -= victim.cpus
 
 
-def smallest_cpus_by_rank(victims: Iterable[Victim]) -> dict[int, float]:
-    """Return the CPUs of the smallest victim of each rank."""
-    smallest: dict[int, float] = {}
+def find_smallest_cpus_by_rank(victims: Iterable[Victim]) -> dict[int, float]:
+    """Return the CPUs of the victim with the fewest CPUs of each rank."""
+    smallest_cpus: dict[int, float] = {}
     for victim in victims:
-        smallest[victim.rank] = min(victim.cpus, smallest.get(victim.rank, inf))
-    return smallest
+        smallest_cpus[victim.rank] = min(victim.cpus, smallest_cpus.get(victim.rank, inf))
+    return smallest_cpus
--- a/tests/placement/test_preemption.py
+++ b/tests/placement/test_preemption.py
@@ -1,4 +1,4 @@
-"""Who is asked to give way, when, and not again before it helped."""
+"""Preemption: which tasks are stopped, when, and how soon again for the same job."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Snapshot:
-    """What the planner is shown: the same machines and victims whoever asks."""
+    """A `PreemptionSnapshot` with the same machines and victims for every job."""
 
     def __init__(self, machines, running, may_preempt=True):
         self._machines, self._running, self._may_preempt = machines, running, may_preempt
@@ -41,77 +41,92 @@
     return planner.plan([pending_job], placed_counts or {}, make_headroom(), snapshot, is_still_placed, Instant(at))
 
 
-URGENCY = [
-    ("slack to spare", 100.0, {}, inf, False),
-    ("slack within the estimates' error", 19.0, {}, inf, True),
-    ("it should start now", 100.0, {}, 0.5, True),
-    ("it should start, but not yet", 100.0, {}, 40.0, False),
-    ("a gang", 100.0, {"breed": "group"}, inf, True),
+URGENCY_CASES = [
+    # name, slack (s), changes of the job, start slack (s), is_urgent
+    ("enough slack", 100.0, {}, inf, False),
+    ("slack within the error of the estimate", 19.0, {}, inf, True),
+    ("start objective about to be missed", 100.0, {}, 0.5, True),
+    ("start objective not close", 100.0, {}, 40.0, False),
+    ("gang", 100.0, {"breed": "group"}, inf, True),
 ]
 
 
-@pytest.mark.parametrize(("slack", "changes", "start", "urgent"), [h[1:] for h in URGENCY], ids=[h[0] for h in URGENCY])
-def test_hurry(slack, changes, start, urgent):
+@pytest.mark.parametrize(
+    ("slack", "changes", "start_slack_s", "expected"),
+    [case[1:] for case in URGENCY_CASES],
+    ids=[case[0] for case in URGENCY_CASES],
+)
+def test_job_is_urgent(slack, changes, start_slack_s, expected):
     victims = [make_victim()]
     pending_job = make_pending_job(slack=slack, **changes)
-    pending_job.expected_run_s, pending_job.start_slack_s = 30.0, start
-    assert is_urgent(pending_job, victims) is urgent
+    pending_job.expected_run_s, pending_job.start_slack_s = 30.0, start_slack_s
+    assert is_urgent(pending_job, victims) is expected
 
 
-RESERVATIONS = [
-    ("smaller tasks on a large machine: held, nobody stops", 8, 100.0, [], {"big"}),
-    ("slack is short", 8, 10.0, [1, 1], set()),
-    ("too few run there to make a hole soon", 7, 100.0, [1, 1], set()),
+RESERVATION_CASES = [
+    # name, tasks on the machine, slack (s), victims, reserved machines
+    ("many smaller tasks on the machine: reserved, no victims", 8, 100.0, [], {"big"}),
+    ("short slack: victims", 8, 10.0, [1, 1], set()),
+    ("too few smaller tasks: victims", 7, 100.0, [1, 1], set()),
 ]
 
 
 @pytest.mark.parametrize(
-    ("running", "slack", "stopped", "reserved"), [h[1:] for h in RESERVATIONS], ids=[h[0] for h in RESERVATIONS]
+    ("running_count", "slack", "stopped", "reserved"),
+    [case[1:] for case in RESERVATION_CASES],
+    ids=[case[0] for case in RESERVATION_CASES],
 )
-def test_a_larger_task_waits_for_ends_where_many_smaller_ones_run(running, slack, stopped, reserved):
-    """Once a burst of large tasks threw away a seventh of all work done below them."""
+def test_larger_task_waits_on_reserved_machine_for_smaller_tasks_to_end(running_count, slack, stopped, reserved):
+    """Guards against stopping many small tasks for a larger one that could wait for them to end.
+
+    A burst of large tasks lost a seventh of all work done at lower priority.
+    """
     planner = PreemptionPlanner(OperatorSettings())
     pending_job = make_pending_job(heads=1, rank=1, slack=slack, cpus=2.0)
     pending_job.expected_run_s = 20.0
-    victims = [make_victim(i, "big") for i in range(running)]
+    victims = [make_victim(i, "big") for i in range(running_count)]
     candidates = [make_candidate("big", cpus=0.0)]
-    chosen = plan(planner, pending_job, Snapshot(candidates, victims))
-    assert [len(group) for _, group in chosen] == [len(stopped)] * bool(stopped)
+    preemptions = plan(planner, pending_job, Snapshot(candidates, victims))
+    assert [len(selected) for _, selected in preemptions] == [len(stopped)] * bool(stopped)
     assert set(planner.reservations) == reserved
     low = make_pending_job(id="wk-000009", heads=1, rank=3)
-    roomy = [make_candidate("big", cpus=1.0)]
-    assert bool(place(roomy, [low], make_headroom(), OperatorSettings(), planner.reservations)) is not bool(reserved)
+    candidates_with_free_cpu = [make_candidate("big", cpus=1.0)]
+    assert bool(
+        place(candidates_with_free_cpu, [low], make_headroom(), OperatorSettings(), planner.reservations)
+    ) is not bool(reserved)
 
 
-def test_of_what_a_team_borrows_the_least_important_and_least_costly_goes():
+def test_borrowed_tasks_have_lowest_priority_then_least_loss():
     victims = [make_victim("dear", loss=9.0), make_victim("cheap", loss=1.0), make_victim("high", rank=1, loss=0.0)]
     mark_borrowed(victims, {"b": 1.5})
-    assert [v.task_key for v in victims if v.is_borrowed] == ["cheap"]
+    assert [victim.task_key for victim in victims if victim.is_borrowed] == ["cheap"]
 
 
-def test_nobody_is_asked_again_before_it_helped_or_some_time_has_passed():
+def test_job_preempts_again_only_after_retry_time():
     planner = PreemptionPlanner(OperatorSettings())
     pending_job, candidates = make_pending_job(heads=1, rank=1), [make_candidate("m", cpus=0.0)]
     pending_job.start_slack_s = 0.5
-    there = {"a"}
+    placed_keys = {"a"}
 
     def choose(at, key):
         snapshot = Snapshot(candidates, [make_victim(key)])
-        chosen = plan(planner, pending_job, snapshot, is_still_placed=there.__contains__, at=at)
-        return [v.task_key for _, victims in chosen for v in victims]
+        preemptions = plan(planner, pending_job, snapshot, is_still_placed=placed_keys.__contains__, at=at)
+        return [victim.task_key for _, victims in preemptions for victim in victims]
 
     assert choose(10.0, "a") == ["a"]
-    assert choose(11.0, "b") == [], "the first is on its way"
-    there.clear()
-    assert choose(12.0, "b") == [], "it is gone and the job still waits: more would not help either"
+    assert choose(11.0, "b") == [], "the first victim is still ending"
+    placed_keys.clear()
+    assert choose(12.0, "b") == [], "the victim has ended and the job still waits: more victims would not help"
     assert choose(14.5, "b") == ["b"]
     planner.forget(pending_job.job_id)
     assert choose(14.6, "c") == ["c"]
 
 
-def test_a_prompt_task_takes_room_where_its_image_is_rather_than_free_room_elsewhere():
-    """Once a third of the tasks that should start within a second went to free room and
-    fetched their image for two."""
+def test_job_requiring_cached_image_preempts_instead_of_using_free_machine_without_image():
+    """Guards against placing a job that must start soon on a free machine without its image.
+
+    A third of the tasks that should start within one second were placed there and fetched their image for two seconds.
+    """
     prompt_job = make_pending_job(heads=2, rank=1)
     prompt_job.requires_cached_image, prompt_job.start_slack_s = True, 0.5
     candidates = [
@@ -121,48 +136,61 @@
     ]
     other = make_pending_job(id="wk-000002", heads=1, rank=2)
     decisions = place(candidates, [prompt_job, other], make_headroom(), OperatorSettings())
-    assert [c.machines for c in decisions] == [["warm"], ["cold"]], "nobody else has to wait for warm room"
+    assert [decision.machines for decision in decisions] == [["warm"], ["cold"]], (
+        "other jobs do not wait for a machine with the image"
+    )
     planner = PreemptionPlanner(OperatorSettings())
     victims = [make_victim("w", "warm", loss=9.0), make_victim("c", "cold-too", loss=0.0)]
-    chosen = plan(planner, prompt_job, Snapshot(candidates, victims), placed_counts={prompt_job.job_id: 1})
-    assert [v.task_key for _, group in chosen for v in group] == ["w"]
-
-
-LENDERS = [
-    # name, victim's changes, slack, tasks within the guarantee, the grace it is stopped with
-    ("it can save: at once, with time for that", {"save_s": 3.0}, 100.0, 1, [7.0]),
-    ("and without, where the slack is short", {"save_s": 3.0}, 10.0, 1, [0.0]),
-    ("its work would be lost: only when the slack is short", {}, 100.0, 1, []),
-    ("not to borrow as well", {"save_s": 3.0}, 100.0, 0, []),
-    ("not what is within its own guarantee", {"save_s": 3.0, "borrowed": False}, 100.0, 1, []),
-    ("not higher priority", {"save_s": 3.0, "rank": 2}, 100.0, 1, []),
+    preemptions = plan(planner, prompt_job, Snapshot(candidates, victims), placed_counts={prompt_job.job_id: 1})
+    assert [victim.task_key for _, selected in preemptions for victim in selected] == ["w"]
+
+
+CHECKPOINT_CASES = [
+    # name, changes of the victim, slack (s), tasks within the guarantee, graces of the stopped tasks (s)
+    ("checkpointable: stopped with grace", {"save_s": 3.0}, 100.0, 1, [7.0]),
+    ("short slack: stopped without grace", {"save_s": 3.0}, 10.0, 1, [0.0]),
+    ("not checkpointable: not stopped", {}, 100.0, 1, []),
+    ("job beyond its guarantee", {"save_s": 3.0}, 100.0, 0, []),
+    ("victim within its guarantee", {"save_s": 3.0, "borrowed": False}, 100.0, 1, []),
+    ("victim of higher priority", {"save_s": 3.0, "rank": 2}, 100.0, 1, []),
 ]
 
 
 @pytest.mark.parametrize(
-    ("changes", "slack", "guaranteed", "graces"), [c[1:] for c in LENDERS], ids=[c[0] for c in LENDERS]
+    ("changes", "slack", "guaranteed", "graces"),
+    [case[1:] for case in CHECKPOINT_CASES],
+    ids=[case[0] for case in CHECKPOINT_CASES],
 )
-def test_what_a_guest_borrows_and_can_save_gives_way_to_a_guarantee_at_once(changes, slack, guaranteed, graces):
+def test_borrowed_checkpointable_task_is_preempted_for_guarantee_before_slack_is_short(
+    changes, slack, guaranteed, graces
+):
     planner = PreemptionPlanner(OperatorSettings())
     pending_job = make_pending_job(heads=1, rank=3, slack=slack)
     pending_job.expected_run_s, pending_job.guaranteed_tasks = 30.0, guaranteed
     running = make_victim(**{"team": "guest", "borrowed": True, **changes})
     candidates = [make_candidate("m", cpus=0.0)]
-    chosen = plan(planner, pending_job, Snapshot(candidates, [running]))
-    assert [v.grace_s for _, group in chosen for v in group] == graces
+    preemptions = plan(planner, pending_job, Snapshot(candidates, [running]))
+    assert [victim.grace_s for _, selected in preemptions for victim in selected] == graces
 
 
-AGED = [
-    # kind, one zone, what is free on four machines (two in each zone), which are held
-    ("an array needs one", "batch", False, [1.0, 2.0, 0.0, 1.5], {"e2"}),
-    ("a gang of two", "group", False, [1.0, 2.0, 0.0, 1.5], {"e2", "w2"}),
-    ("a gang of two in one zone", "group", True, [1.0, 2.0, 0.0, 2.5], {"e1", "e2"}),
+STARVED_CASES = [
+    # name, kind, one zone, free CPUs of four machines (two in each zone), reserved machines
+    ("array: one machine", "batch", False, [1.0, 2.0, 0.0, 1.5], {"e2"}),
+    ("gang of two: two machines", "group", False, [1.0, 2.0, 0.0, 1.5], {"e2", "w2"}),
+    ("gang of two in one zone: both machines there", "group", True, [1.0, 2.0, 0.0, 2.5], {"e1", "e2"}),
 ]
 
 
-@pytest.mark.parametrize(("kind", "one_zone", "free", "reserved"), [a[1:] for a in AGED], ids=[a[0] for a in AGED])
-def test_a_job_that_waited_too_long_to_begin_gets_machines_that_nothing_else_enters(kind, one_zone, free, reserved):
-    """Among many small urgent ones a large one never found room: each piece was refilled before it was large enough."""
+@pytest.mark.parametrize(
+    ("kind", "one_zone", "free_cpus", "reserved"),
+    [case[1:] for case in STARVED_CASES],
+    ids=[case[0] for case in STARVED_CASES],
+)
+def test_starved_job_reserves_machines_against_all_other_jobs(kind, one_zone, free_cpus, reserved):
+    """Guards against a large job that is never placed among many small jobs of higher priority.
+
+    Small tasks used the freed resources of each machine again before they were large enough.
+    """
     pending_job = make_pending_job(
         heads=2, count=1 if kind == "batch" else 2, rank=3, breed=kind, oneZone=one_zone, cpus=4.0
     )
@@ -170,25 +198,27 @@
     names = ["e1", "e2", "w1", "w2"]
     candidates = [
         make_candidate(name, cpus=cpus, zone="east" if name[0] == "e" else "west")
-        for name, cpus in zip(names, free, strict=True)
+        for name, cpus in zip(names, free_cpus, strict=True)
     ]
     planner = PreemptionPlanner(OperatorSettings())
     assert not plan(planner, pending_job, Snapshot(candidates, [], may_preempt=False))
     assert set(planner.reservations) == reserved
     urgent = make_pending_job(id="wk-000009", heads=9, rank=0, cpus=1.0, memoryGb=0.0)
-    (choice,) = place(candidates, [urgent, pending_job], make_headroom(), OperatorSettings(), planner.reservations)
-    assert not reserved & set(choice.machines), "not even the most urgent"
+    (decision,) = place(candidates, [urgent, pending_job], make_headroom(), OperatorSettings(), planner.reservations)
+    assert not reserved & set(decision.machines), "not even a job of the highest priority"
 
 
-def test_what_waited_too_long_goes_first_and_within_its_limit():
-    old, urgent = make_pending_job(heads=1, rank=3, steward="a"), make_pending_job(id="wk-000002", heads=1, rank=0)
-    old.is_starved = True
-    for limit, first in ((4.0, "wk-000001"), (0.5, "wk-000002")):
-        decisions = place([make_candidate("m", cpus=1.0)], [urgent, old], make_headroom(a=limit), OperatorSettings())
-        assert [choice.job_id for choice in decisions] == [first]
+def test_starved_job_is_placed_first_within_team_quota():
+    starved, urgent = make_pending_job(heads=1, rank=3, steward="a"), make_pending_job(id="wk-000002", heads=1, rank=0)
+    starved.is_starved = True
+    for quota, first in ((4.0, "wk-000001"), (0.5, "wk-000002")):
+        decisions = place(
+            [make_candidate("m", cpus=1.0)], [urgent, starved], make_headroom(a=quota), OperatorSettings()
+        )
+        assert [decision.job_id for decision in decisions] == [first]
 
 
-def test_a_replica_that_is_missed_takes_room_where_its_image_is_and_no_other():
+def test_missing_replica_preempts_only_where_its_image_is_cached():
     pending_job = make_pending_job(
         heads=2, count=1, rank=0, breed="daemon", scatter=True, siblings={MachineId("w"): ("west", 1)}
     )
@@ -197,9 +227,11 @@
     assert place(candidates, [pending_job], make_headroom(), OperatorSettings()) == []
     planner = PreemptionPlanner(OperatorSettings())
     victims = [make_victim("cheap", "cold", loss=0.0), make_victim("there", "warm", loss=9.0)]
-    chosen = plan(planner, pending_job, Snapshot(candidates, victims))
-    assert [v.task_key for _, gone in chosen for v in gone] == ["there"] and set(planner.reservations) == {"warm"}
+    preemptions = plan(planner, pending_job, Snapshot(candidates, victims))
+    assert [v.task_key for _, selected in preemptions for v in selected] == ["there"] and set(planner.reservations) == {
+        "warm"
+    }
     pending_job.requires_cached_image = False
-    assert [choice.machines for choice in place(candidates, [pending_job], make_headroom(), OperatorSettings())] == [
-        ["cold"]
-    ]
+    assert [
+        decision.machines for decision in place(candidates, [pending_job], make_headroom(), OperatorSettings())
+    ] == [["cold"]]
