--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -20,10 +20,15 @@
 RUNS = re.compile(r"task (\S+)/(\d+) runs on (\S+) after (\S+) s")
 DONE = re.compile(r"task (\S+)/(\d+) done on (\S+) after (\S+) s")
 GONE = re.compile(r"task (\S+)/(\d+) attempt (\d+) gone (?:from|with) ([^:\s]+)(?:: (.*))?")
-RENTED = re.compile(r"machine (\S+) rented: (\S+) in (\S+), (spot|ordinary)")
+RENTED = re.compile(
+    r"(?:machine |created machine=)(\S+)(?: rented: | type=)(\S+)"
+    r"(?: in | zone=)(\S+)(?:, | market=)(spot|ordinary|on-demand)"
+)
 FIRST = re.compile(r"machine (\S+) \((\S+)\) reports first")
-DELETED = re.compile(r"deleted (.*)")
-CONDEMNED = re.compile(r"machine (\S+) condemned with (\d+) tasks: (.*)")
+DELETED = re.compile(r"deleted (?:machines=)?(.*)")
+CONDEMNED = re.compile(
+    r"(?:machine |decommissioning machine=)(\S+)(?: condemned with | tasks=)(\d+)(?: tasks: | reason=)(.*)"
+)
 
 
 @dataclass(slots=True)
--- a/meadowcross/autoscaling/__init__.py
+++ b/meadowcross/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""Matches the machines to the work: the cloud's client, scaling out and in, and machines that fail."""
+"""Autoscaling: the cloud's client, scaling out and in, and decommissioning of failed machines."""
--- a/meadowcross/autoscaling/autoscaler.py
+++ b/meadowcross/autoscaling/autoscaler.py
@@ -1,4 +1,4 @@
-"""The leader's autoscaler: matches the machines to the work, and gives up those that fail."""
+"""The leader's autoscaler: creates and deletes machines to match the demand, and decommissions failed ones."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
 
 
 class AutoscalerState(NamedTuple):
-    """What the next leader takes over."""
+    """State that a leader exports for its successor."""
 
     boot_samples: dict[str, list[tuple[Seconds, Seconds]]]
-    """By machine type: how long ago each recent boot ended, and how long it took."""
+    """By machine type: the age and the duration of each recent boot."""
     unavailable: list[tuple[MachineKind, Seconds]]
-    """Kinds that the cloud refused, and for how much longer they are not asked for."""
+    """Kinds that had no capacity, and the remaining time for which they are not requested."""
     at_risk_age_s: Seconds
-    """How long ago a demand was at risk."""
+    """Time since a demand was at risk."""
 
 
 class Autoscaler:
-    """Builds the parts of the autoscaler, and runs them once a second while this node certainly leads."""
+    """Creates the parts of the autoscaler, and runs them once a second while the leader lease is valid."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
             host=host,
             ticker=self._tick,
             boot_times=self.boot_times,
-            saves_money=may_wait_for_cheaper_capacity(settings.facts.objectives),
+            is_cost_sensitive=may_wait_for_cheaper_capacity(settings.facts.objectives),
             started_at=Instant(clock.seconds()),
         )
         completions = TaskCompletionForecast(host.job_table, host.runs)
@@ -79,18 +79,18 @@
         self._scale_out = ScaleOut(context, cloud, demand, availability, completions, self._decommissioner)
 
     def start(self) -> None:
-        """Begin to tick; the first tick is run at once."""
+        """Start ticking; the first tick runs at once."""
         self._context.started_at = self._context.now
         self._scale_out.start()
         self._tick.start(TICK_INTERVAL_S)
 
     def stop(self) -> None:
-        """Stop ticking. Requests that are under way end by themselves and change nothing any more."""
+        """Stop ticking. Requests in flight end by themselves, and their responses are ignored."""
         if self._tick.running:
             self._tick.stop()
 
     def export_state(self) -> AutoscalerState:
-        """Return what the next leader takes over."""
+        """Return the state that the next leader imports."""
         now = self._context.now
         return AutoscalerState(
             self.boot_times.export_samples(now),
@@ -104,7 +104,7 @@
         unavailable: list[tuple[MachineKind, Seconds]],
         at_risk_age_s: Seconds | None,
     ) -> None:
-        """Take over what the previous leader knew, as in `AutoscalerState`; an age of None is not known."""
+        """Import the previous leader's state, as in `AutoscalerState`; an age of None is unknown."""
         self.boot_times.import_samples(boot_samples, self._context.now)
         self.kind_availability.import_state(unavailable)
         if at_risk_age_s is not None:
@@ -115,27 +115,27 @@
         return self._decommissioner.is_deleted(machine)
 
     def is_kind_available(self, kind: MachineKind) -> bool:
-        """Return whether the cloud has not refused the kind just now."""
+        """Return whether the kind may be requested: no recent request for it failed."""
         return self.kind_availability.is_available(kind)
 
     def on_machine_up(self, machine: Machine) -> None:
-        """Record the boot of a machine that reports for the first time to any leader."""
+        """Record the boot time of a machine that has sent its first heartbeat to any leader."""
         if machine.machine_type is not None:
             now = self._context.now
             self.boot_times.record_boot(machine.machine_type, now - machine.rented_at, now)
 
     def on_new_work(self) -> None:
-        """Scale out soon for a job that has come."""
+        """Schedule a scale-out for a new job before the next tick."""
         self._scale_out.on_new_work()
 
     def decommission(self, machine: Machine, reason: str) -> None:
-        """Take the machine out of use, to be deleted; deletion proves that its tasks are gone."""
+        """Take the machine out of use and delete it; the deletion proves that its tasks are gone."""
         self._decommissioner.decommission(machine, reason)
 
     def _on_tick(self) -> None:
         try:
             if not self._host.has_valid_lease():
-                # Another node may lead: that this one hears nothing does not make its machines silent or idle.
+                # Another node may lead and receive the heartbeats: without heartbeats here, machines may still be busy.
                 return
             self._demand.update_expensive_kinds()
             self._demand.update()
@@ -146,4 +146,4 @@
             self._machine_list.refresh_if_due()
         except Exception:
             # The next tick tries again.
-            log.exception("fleet tick failed")
+            log.exception("autoscaler tick failed")
--- a/meadowcross/autoscaling/catalog.py
+++ b/meadowcross/autoscaling/catalog.py
@@ -1,6 +1,6 @@
-"""The cloud's machine types, read again from time to time.
+"""Catalog of the cloud's machine types, refreshed periodically.
 
-They are also stored, so that a node that starts while the cloud does not answer can still check submissions.
+The types are also stored, so that a node that starts while the cloud is unreachable can still check submissions.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
 REFRESH_INTERVAL_S: Seconds = 45.0
 RETRY_INTERVAL_S: Seconds = 1.0
-"""After an error while no types are known."""
+"""Time until the next request after an error while no types are known."""
 RETRY_WITH_TYPES_INTERVAL_S: Seconds = 10.0
-"""After an error of the cloud while types are known."""
+"""Time until the next request after an error of the cloud while types are known."""
 
 
 class MachineTypeCatalog:
-    """Keeps the machine types that the cloud offers."""
+    """Holds the machine types that the cloud offers, and refreshes them."""
 
     def __init__(self, clock: Clock, cloud: CloudClient, store: StoreClient) -> None:
         self._clock = clock
@@ -40,11 +40,11 @@
         self._is_stored = False
 
     def machine_types(self) -> list[MachineType]:
-        """Return the types; empty until some are known."""
+        """Return the machine types; empty until they have been read from the cloud or the store."""
         return self._machine_types
 
     async def run(self) -> None:
-        """Keep the types up to date until cancelled."""
+        """Refresh the types until cancelled; errors are logged and retried."""
         while True:
             try:
                 self._machine_types = (await self._cloud.fetch_machine_types()).types
@@ -52,13 +52,13 @@
                     await self._save_to_store()
                 await pause(self._clock, REFRESH_INTERVAL_S)
             except CloudError as error:
-                log.info("machine types: %s", error)
+                log.info("reading machine types failed error=%s", error)
                 if not self._machine_types:
                     await self._load_from_store()
                 await pause(self._clock, RETRY_WITH_TYPES_INTERVAL_S if self._machine_types else RETRY_INTERVAL_S)
             except Exception:
-                # A fault here must not end the loop.
-                log.exception("machine types")
+                # An unexpected error must not end the loop.
+                log.exception("refreshing machine types failed")
                 await pause(self._clock, RETRY_INTERVAL_S)
 
     async def _load_from_store(self) -> None:
@@ -68,7 +68,7 @@
                 self._machine_types = decode_machine_types(item.value).types
                 self._is_stored = True
         except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
-            log.info("stored machine types: %s", error)
+            log.info("reading stored machine types failed error=%s", error)
 
     async def _save_to_store(self) -> None:
         try:
@@ -79,4 +79,4 @@
         except ConflictError:
             self._is_stored = True
         except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
-            log.debug("machine types not stored yet: %s", error)
+            log.debug("storing machine types failed error=%s", error)
--- a/meadowcross/autoscaling/cloud.py
+++ b/meadowcross/autoscaling/cloud.py
@@ -1,6 +1,6 @@
 """Client of the cloud's API: machine types, creation and deletion of machines, the machine list.
 
-Requests keep to a share of the rate that the cloud allows.
+The rate of requests is limited to a share of the rate that the cloud allows.
 """
 
 from __future__ import annotations
@@ -35,6 +35,7 @@
 
 REQUEST_TIMEOUT_S: Seconds = 6.0
 LEADER_RATE_SHARE = 0.8
+"""Share of the rate allowed by the cloud that one client uses."""
 HTTP_OK = 200
 HTTP_TOO_MANY_REQUESTS = 429
 HTTP_SERVICE_UNAVAILABLE = 503
@@ -44,42 +45,42 @@
 
 
 class CloudError(Exception):
-    """The cloud gave no usable answer; the request may have been executed, or may be later."""
+    """The cloud sent no usable response; the request may have been executed, or may still be."""
 
     def __init__(self, path: str, reason: object) -> None:
-        super().__init__(f"{path}: {reason}")
+        super().__init__(f"{path} failed: {reason}")
 
 
 class CloudRequestRejectedError(CloudError):
-    """The request was certainly not carried out: it was never sent, or answered, and not with success."""
+    """The request was certainly not executed: it was never sent, or the cloud responded with an error."""
 
 
 class InsufficientCapacityError(CloudError):
-    """The cloud has no machine of this type, zone and market now."""
+    """The cloud has no capacity for this machine kind now, or the request is not wanted any more."""
 
 
 class CloudClient:
-    """Sends requests to the cloud, one HTTP request each."""
+    """Sends requests to the cloud; each method sends one HTTP request, except that the list is read page by page."""
 
     def __init__(self, clock: Clock, http: HttpClient, address: Address, facts: CloudFacts) -> None:
         self._http = http
         self._address = address
-        # The burst that the cloud allows is two seconds' worth; keep one for the others.
+        # The cloud allows a burst of two seconds' worth of requests; one second's worth is left to other controllers.
         self._rate_limiter = TokenBucket(clock, facts.rps * LEADER_RATE_SHARE, facts.rps)
 
     async def fetch_machine_types(self) -> MachineTypeList:
-        """Return the machine types; raise CloudError without a usable answer."""
+        """Return the machine types; raise CloudError without a usable response."""
         response = await self._send_rate_limited("GET", "/machine_types", None, RequestPriority.PLACEMENT)
         return _decode("/machine_types", response, decode_machine_types)
 
     async def create_machines(
         self, request_id: str, kind: MachineKind, count: int, is_still_wanted: Callable[[], bool]
     ) -> list[MachineId]:
-        """Create up to `count` machines and return those that the cloud granted.
+        """Create up to `count` machines and return the ids of those that the cloud created.
 
-        `is_still_wanted` is asked once the rate allows the request: what waited behind a refusal for the same kind
-        would only use up the rate. Raises InsufficientCapacityError where there is none of the kind or the
-        request is not wanted any more, and CloudError where the request may still be executed.
+        `is_still_wanted` is called once the rate limit admits the request: if another request for the kind was refused
+        meanwhile, this one would only use up the rate. Raises InsufficientCapacityError if the kind has no capacity or
+        the request is not wanted any more, and CloudError if the request may still be executed.
         """
         request = CreateMachinesRequest(
             request_id, kind.type, kind.zone, kind.spot, min(count, MAX_MACHINES_PER_CREATION)
@@ -96,10 +97,10 @@
         return decode_machine_ids(response.body).machines
 
     async def delete_machines(self, machines: list[MachineId]) -> None:
-        """Delete machines; return only once they and all that ran on them are gone.
+        """Delete at most `MAX_MACHINES_PER_DELETION` machines; return once they and all their tasks are gone.
 
-        Raises CloudRequestRejectedError where the cloud did not carry the request out, and CloudError where it may
-        still.
+        Raises CloudRequestRejectedError if the cloud did not execute the request, and CloudError if it may still be
+        executed.
         """
         body = encode(MachineIds(machines[:MAX_MACHINES_PER_DELETION]))
         response = await self._send_rate_limited("POST", "/rentals/delete", body, RequestPriority.USER)
@@ -107,26 +108,26 @@
             raise CloudRequestRejectedError("/rentals/delete", response.status)
 
     async def oldest_machine_age_s(self) -> Seconds | None:
-        """Return the age of the oldest machine in the list, 0 where there is none; None without an answer."""
+        """Return the age of the oldest machine in the list, 0 if the list is empty; None without a usable response."""
         try:
             return max((machine.age_s for machine in await self.list_machines()), default=0.0)
         except CloudError as error:
-            log.info("machine list: %s", error)
+            log.info("reading the machine list failed error=%s", error)
             return None
 
     async def list_machines(self) -> list[ListedMachine]:
-        """Return all machines, read page by page; raise CloudError without a usable answer."""
+        """Return all machines, read page by page; raise CloudError without a usable response."""
         machines: list[ListedMachine] = []
-        after = ""
+        last_id = ""
         while True:
-            since = f"since={after}&" if after else ""
-            path = f"/rentals?{since}limit={LIST_PAGE_LIMIT}"
+            since_parameter = f"since={last_id}&" if last_id else ""
+            path = f"/rentals?{since_parameter}limit={LIST_PAGE_LIMIT}"
             response = await self._send_rate_limited("GET", path, None, RequestPriority.BACKGROUND)
             page: MachineListPage = _decode("/rentals", response, decode_machine_list)
             machines.extend(page.machines)
             if not page.has_more or not page.machines:
                 return machines
-            after = page.machines[-1].id
+            last_id = page.machines[-1].id
 
     async def _send_rate_limited(
         self, method: str, path: str, body: bytes | None, priority: RequestPriority
@@ -147,7 +148,7 @@
 
 
 def _decode(path: str, response: ClientResponse, decode: Callable[[bytes], Body]) -> Body:
-    """Return the body of a successful response; raise CloudError for any other."""
+    """Return the decoded body; raise CloudError if the status is not 200 or the body can't be decoded."""
     if response.status != HTTP_OK:
         raise CloudError(path, response.status)
     try:
--- a/meadowcross/autoscaling/context.py
+++ b/meadowcross/autoscaling/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the autoscaler share: the clock, the settings, and what they need of the leader's term."""
+"""State and interfaces that all parts of the autoscaler share: the clock, the settings and the leader's term."""
 
 from __future__ import annotations
 
@@ -23,33 +23,33 @@
 
 
 class WorkloadView(MachineAvailability, Protocol):
-    """What the autoscaler asks about the queue and the machines' contact."""
+    """The queue, the teams' quotas and the contact with machines, as the autoscaler reads them."""
 
     @property
     def contact_window_s(self) -> Seconds:
-        """A machine that is well and reports here was heard within this time."""
+        """Time within which a healthy machine that reports to this controller has sent a heartbeat."""
 
     def is_schedulable(self, machine: Machine) -> bool:
-        """Return whether the machine may be given work."""
+        """Return whether tasks may be placed on the machine now."""
 
     def pending_jobs(self) -> list[PendingJob]:
         """Return the jobs with tasks to place."""
 
     def quota_headroom(self) -> dict[str, QuotaHeadroom]:
-        """Return what each team may still use."""
+        """Return by team the resources that it may still use."""
 
     def silence_s(self, machine: Machine) -> Seconds:
-        """Return for how long nothing was heard of the machine while this process listened."""
+        """Return the time since the last contact with the machine; a suspension of this process does not count."""
 
     def is_silent(self, machine: Machine) -> bool:
-        """Return whether the machine was not heard within the contact window."""
+        """Return whether there was no contact with the machine within the contact window."""
 
     def contact_check(self) -> Callable[[Machine], bool]:
-        """Return a function that tells whether a machine is not silent; for use over all machines."""
+        """Return a predicate that is true for machines that are not silent; for use over all machines."""
 
 
 class AutoscalerHost(Protocol):
-    """What the autoscaler needs of the term that owns it."""
+    """The operations of the leader's term that the autoscaler uses."""
 
     token: FencingToken
     job_table: JobTable
@@ -59,30 +59,30 @@
 
     @property
     def scheduling_view(self) -> WorkloadView:
-        """The state of the queue and of the machines."""
+        """State of the queue and of the machines."""
 
     def has_valid_lease(self) -> bool:
-        """Return whether no other node can lead now."""
+        """Return whether the leader lease is valid, so that no other node can lead now."""
 
     def add_machine(self, machine_id: MachineId, kind: MachineKind) -> Machine:
-        """Return the machine of this id, which is registered if it is new."""
+        """Return the machine with this id; register it first if it is new."""
 
     def store_machine(self, machine: Machine) -> None:
         """Write the machine's record to the store."""
 
     def on_machine_deleted(self, machine_id: MachineId) -> None:
-        """Handle the proof that a machine and all that ran on it are gone."""
+        """Remove a machine whose deletion the cloud confirmed, and release its tasks."""
 
     def stop_task(self, placement: Placement, grace_s: Seconds) -> None:
-        """Stop a task, which gets `grace_s` to save a checkpoint."""
+        """Stop a task after a grace of `grace_s` for saving a checkpoint."""
 
     def on_cloud_list(self, described_at: Instant | None) -> None:
-        """Handle a machine list of the cloud; `described_at` is the time that it describes, if known."""
+        """Handle a machine list of the cloud; `described_at` is the instant that it describes, None if unknown."""
 
 
 @dataclass(slots=True)
 class AutoscalerContext:
-    """What the parts of one autoscaler have in common."""
+    """Clock, settings and collaborators that the parts of one autoscaler share."""
 
     clock: Clock
     facts: Facts
@@ -91,8 +91,8 @@
     host: AutoscalerHost
     ticker: LoopingCall
     boot_times: BootTimeEstimator
-    saves_money: bool
-    """Whether work may wait for cheaper capacity."""
+    is_cost_sensitive: bool
+    """Whether jobs may wait for cheaper capacity, so that cost decides about machines."""
     started_at: Instant
 
     @property
@@ -110,5 +110,5 @@
         return self.host.worker_registry.machines
 
     def expected_boot_s(self, machine_type: MachineType) -> Seconds:
-        """Return how long a machine of this type is expected to boot."""
+        """Return the expected boot time of a machine of this type."""
         return self.boot_times.expected_boot_s(machine_type, self.now)
--- a/meadowcross/autoscaling/demand.py
+++ b/meadowcross/autoscaling/demand.py
@@ -1,4 +1,4 @@
-"""What the queue needs of machines that are not there yet."""
+"""Tracks the demand of the queue for machines that do not exist yet."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DemandTracker:
-    """The current demands in queue order, and when there last were any and any at risk."""
+    """The current demands in queue order, and the last instants with any demand and with one at risk."""
 
     def __init__(self, context: AutoscalerContext) -> None:
         self._context = context
@@ -21,8 +21,8 @@
         self.last_at_risk_at = 0.0
 
     def update_expensive_kinds(self) -> None:
-        """Work out which kinds are expensive; none is where work may not wait for cheaper capacity."""
-        if self._context.saves_money:
+        """Determine the expensive kinds; no kind is expensive if jobs may not wait for cheaper capacity."""
+        if self._context.is_cost_sensitive:
             multiple = self._context.operator.dear_multiple
             self.expensive_kinds = find_expensive_kinds(self._context.machine_types(), multiple)
 
@@ -31,7 +31,7 @@
         return requires_expensive_kind(spec, self._context.machine_types(), self.expensive_kinds)
 
     def update(self) -> None:
-        """Read the demands from the queue, within the teams' quotas."""
+        """Compute the demands of the queue within the teams' quotas, and mark those at risk."""
         context = self._context
         view = context.host.scheduling_view
         cpus = sum(
@@ -51,13 +51,15 @@
                 self.demands.append(
                     CapacityDemand(spec, count, pending_job.expected_run_s, placed_by_zone=placed_by_zone)
                 )
-                # To be late to start is to be late too: money may buy room for either objective.
+                # A late start counts like a late end: expensive machines may be used for either objective.
                 slacks_s.append(min(pending_job.slack_s, pending_job.start_slack_s))
-        shortest_boot_s = min((context.expected_boot_s(t) for t in context.machine_types()), default=0.0)
+        shortest_boot_s = min(
+            (context.expected_boot_s(machine_type) for machine_type in context.machine_types()), default=0.0
+        )
         mark_at_risk(self.demands, slacks_s, cpus, shortest_boot_s)
 
     def record_times(self) -> None:
-        """Note that there are demands now, and whether one is at risk."""
+        """Record the current instant if there are demands, and if one is at risk."""
         now = self._context.now
         if any(demand.is_at_risk for demand in self.demands):
             self.last_at_risk_at = now
@@ -65,5 +67,5 @@
             self.last_demand_at = now
 
     def import_at_risk_age(self, age_s: Seconds) -> None:
-        """Take over how long ago the previous leader saw a demand at risk."""
+        """Import the time since the previous leader had a demand at risk."""
         self.last_at_risk_at = max(self.last_at_risk_at, self._context.now - age_s)
--- a/meadowcross/autoscaling/incoming_capacity.py
+++ b/meadowcross/autoscaling/incoming_capacity.py
@@ -1,6 +1,6 @@
-"""Capacity that will be there soon without creating more machines.
+"""Collects the capacity that will be available soon without creating more machines.
 
-It is requested, booting, just up, or used by tasks that are about to end.
+Such capacity is requested, booting, just up, or used by tasks that are about to end.
 """
 
 from __future__ import annotations
@@ -20,38 +20,39 @@
 from meadowcross.workers.registry import WorkerRegistry
 
 COMPLETION_HORIZON_BOOTS = 0.5
-"""What ends within half a boot is there sooner than a machine created for it."""
+"""Tasks that end within half a boot time free their resources sooner than a new machine comes up."""
 FORECAST_MAX_AGE_S: Seconds = 5.0
+"""A machine's forecast is computed again after this time, as the expected run times change slowly."""
 
 
 class MachineAvailability(Protocol):
-    """Which machines are schedulable, or will be in a moment."""
+    """Check for machines that are schedulable now or will be in a moment."""
 
     def usability_check(self) -> Callable[[Machine], bool]:
-        """Return a function that tells whether a machine is; for use over all machines."""
+        """Return a predicate that is true for machines that are schedulable now or will be in a moment."""
 
 
 class _Completion(NamedTuple):
-    """When a task is expected to end."""
+    """The expected end of a task, and the spec of its job."""
 
-    at: Instant
+    ends_at: Instant
     spec: JobSpec
 
 
 class _Forecast(NamedTuple):
-    """The completions expected on a machine, soonest first, and for which state of the machine."""
+    """Expected completions on a machine, soonest first, valid for one `change_count` of the machine."""
 
     change_count: int
-    made_at: Instant
+    computed_at: Instant
     completions: list[_Completion]
 
 
 class TaskCompletionForecast:
-    """When tasks on each machine are expected to end.
+    """Forecasts when the tasks on each machine end.
 
-    A machine's forecast is made again only where a task came, went or began to run, or after some seconds, since the
-    expected run times move slowly: made of all tasks for every job that came, it was the largest piece of a busy
-    leader's work (2.1 of 17.7 s under a profiler, 640 machines).
+    A machine's forecast is cached until a task is placed, ends or begins to run there, or for `FORECAST_MAX_AGE_S`:
+    computed from all tasks for every new job, the forecasts were the largest part of a busy leader's work (2.1 of
+    17.7 s under a profiler, 640 machines).
     """
 
     def __init__(self, job_table: JobTable, runs: Runs) -> None:
@@ -60,17 +61,17 @@
         self._cache: dict[MachineId, _Forecast] = {}
 
     def completions_before(self, machine: Machine, deadline: Instant, now: Instant) -> Iterator[JobSpec]:
-        """Yield the jobs of the tasks that are expected to end on the machine before the deadline."""
+        """Yield the job spec of each task that is expected to end on the machine before the deadline."""
         forecast = self._cache.get(machine.id)
         if (
             forecast is None
             or forecast.change_count != machine.change_count
-            or now - forecast.made_at > FORECAST_MAX_AGE_S
+            or now - forecast.computed_at > FORECAST_MAX_AGE_S
         ):
-            completions = sorted(self._forecast(machine, now), key=lambda completion: completion.at)
+            completions = sorted(self._forecast(machine, now), key=lambda completion: completion.ends_at)
             forecast = self._cache[machine.id] = _Forecast(machine.change_count, now, completions)
         for completion in forecast.completions:
-            if completion.at >= deadline:
+            if completion.ends_at >= deadline:
                 return
             yield completion.spec
 
@@ -78,16 +79,19 @@
         for placement in machine.placements.values():
             job = self._job_table.jobs.get(placement.task.job)
             if job is not None and placement.phase is PlacementPhase.RUNNING and placement.running_at is not None:
-                left_s = self._runs.left(job.spec, ran(job, placement, now), CAUTIOUS)
-                yield _Completion(Instant(now + left_s), job.spec)
+                remaining_s = self._runs.left(job.spec, ran(job, placement, now), CAUTIOUS)
+                yield _Completion(Instant(now + remaining_s), job.spec)
 
     def forget(self, machine: MachineId) -> None:
-        """Forget a machine that is gone."""
+        """Drop the forecast of a deleted machine."""
         self._cache.pop(machine, None)
 
 
 class IncomingCapacityCollector:
-    """Collects the incoming capacity at one time, by the machine types with their expected boot times."""
+    """Collects the incoming capacity at one instant.
+
+    The `boot_s` of `machine_types` is the expected boot time of the type, not the stated one.
+    """
 
     def __init__(
         self,
@@ -108,8 +112,11 @@
         availability: MachineAvailability,
         horizon_boots: float = COMPLETION_HORIZON_BOOTS,
     ) -> list[IncomingCapacity]:
-        """Return the capacity of open requests and of machines; what ends within `horizon_boots` boots counts too."""
-        incoming = [self._requested(request) for request in open_requests]
+        """Return the incoming capacity of open requests and of machines that are not decommissioned.
+
+        Resources of tasks that are expected to end within `horizon_boots` boot times are included.
+        """
+        incoming = [self._requested_capacity(request) for request in open_requests]
         machines = [machine for machine in worker_registry.machines.values() if machine.decommission_reason is None]
         overdue_after_s = self._overdue_after_s(machines)
         is_usable = availability.usability_check()
@@ -121,7 +128,7 @@
                 if not is_usable(machine):
                     continue
             elif self._now - machine.rented_at > overdue_after_s[machine_type.name]:
-                # It may still come, but a machine created now is likely to be there sooner.
+                # The machine may still come up, but a machine created now is likely to come up sooner.
                 continue
             capacity = IncomingCapacity(
                 machine.kind,
@@ -135,14 +142,14 @@
             incoming.append(capacity)
         return incoming
 
-    def _requested(self, request: ScaleOutRequest) -> IncomingCapacity:
+    def _requested_capacity(self, request: ScaleOutRequest) -> IncomingCapacity:
         machine_type, count = self._machine_types[request.kind.type], request.machine_count
         return IncomingCapacity(
             request.kind, machine_type.cpus * count, machine_type.gpus * count, machine_type.memory_gb * count
         )
 
     def _overdue_after_s(self, machines: Iterable[Machine]) -> dict[str, Seconds]:
-        """Return by machine type after which time a booting machine is not counted on."""
+        """Return by machine type the time after which a booting machine does not count as incoming capacity."""
         waiting_s: dict[str, list[Seconds]] = {name: [] for name in self._machine_types}
         for machine in machines:
             if not machine.is_up and machine.machine_type is not None:
--- a/meadowcross/autoscaling/kind_availability.py
+++ b/meadowcross/autoscaling/kind_availability.py
@@ -1,4 +1,4 @@
-"""Which machine kinds the cloud refused lately."""
+"""Tracks the machine kinds that the cloud had no capacity for recently."""
 
 from __future__ import annotations
 
@@ -7,35 +7,41 @@
 
 
 class KindAvailability:
-    """Remembers for each kind that the cloud refused until when it is not asked for again."""
+    """Holds for each unavailable kind the instant until which it is not requested again."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._unavailable_until: dict[MachineKind, float] = {}
 
     def is_available(self, kind: MachineKind) -> bool:
-        """Return whether the cloud has not refused the kind just now."""
+        """Return whether the kind may be requested now."""
         return self._unavailable_until.get(kind, 0.0) <= self._clock.seconds()
 
     def unavailable_kinds(self) -> set[MachineKind]:
-        """Return the kinds that are not asked for now."""
+        """Return the kinds that may not be requested now."""
         now = self._clock.seconds()
-        return {kind for kind, until in self._unavailable_until.items() if until > now}
+        return {kind for kind, unavailable_until in self._unavailable_until.items() if unavailable_until > now}
 
     def mark_unavailable(self, kind: MachineKind, duration_s: Seconds) -> None:
-        """Do not ask for the kind for so long."""
+        """Do not request the kind for `duration_s`."""
         self._unavailable_until[kind] = self._clock.seconds() + duration_s
 
     def mark_available(self, kind: MachineKind) -> None:
-        """Ask for the kind again: room for such a machine has come free."""
+        """Allow requests for the kind again, as capacity for it has become free."""
         self._unavailable_until.pop(kind, None)
 
     def export_state(self) -> list[tuple[MachineKind, Seconds]]:
-        """Return the refused kinds for the next leader, and for how much longer they are not asked for."""
+        """Return the unavailable kinds for the next leader, each with the remaining time."""
         now = self._clock.seconds()
-        return [(kind, until - now) for kind, until in self._unavailable_until.items() if until > now]
+        return [
+            (kind, unavailable_until - now)
+            for kind, unavailable_until in self._unavailable_until.items()
+            if unavailable_until > now
+        ]
 
     def import_state(self, unavailable: list[tuple[MachineKind, Seconds]]) -> None:
-        """Take over what the previous leader knew, as from `export_state`."""
+        """Import the previous leader's unavailable kinds, in the form that `export_state` returns."""
         now = self._clock.seconds()
-        self._unavailable_until.update((kind, now + left_s) for kind, left_s in unavailable if left_s > 0)
+        self._unavailable_until.update(
+            (kind, now + remaining_s) for kind, remaining_s in unavailable if remaining_s > 0
+        )
--- a/meadowcross/autoscaling/machine_checks.py
+++ b/meadowcross/autoscaling/machine_checks.py
@@ -1,4 +1,4 @@
-"""Finds machines that are silent, can't be reached, or do not come up, and decommissions them."""
+"""Decommissions machines that are silent, unreachable, or do not come up."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 from meadowcross.workers.machine import Machine
 
 DEAD_MACHINE_LISTED_S: Seconds = 30.0
-"""The cloud lists a dead machine as running for about so long."""
-UNKNOWN_TYPE_GIVE_UP_S: Seconds = 180.0
-"""How long a machine of unknown type may take to come up."""
-MIN_BOOT_WATCH_S: Seconds = 10.0
-"""A leader gives up no booting machine before it has led for so long."""
+"""The cloud lists a dead machine as running for about this long."""
+UNKNOWN_TYPE_BOOT_TIMEOUT_S: Seconds = 180.0
+"""Boot timeout of a machine whose type is unknown."""
+MIN_TERM_AGE_S: Seconds = 10.0
+"""A leader decommissions no booting machine before its term has lasted this long."""
 
 
 class MachineChecker:
-    """Checks every machine's contact at each tick."""
+    """Checks the contact with every machine at each tick."""
 
     def __init__(self, context: AutoscalerContext, decommissioner: Decommissioner) -> None:
         self._context = context
         self._decommissioner = decommissioner
 
     def check(self) -> None:
-        """Probe machines that are silent, and decommission those that were so for too long."""
+        """Probe machines that are silent or unresponsive, and decommission them after the timeout that applies."""
         view = self._context.host.scheduling_view
-        is_recently_heard = view.contact_check()
-        timeouts = self._silence_timeouts(is_recently_heard)
-        # Nearly all machines are well, and nothing is to be done about them.
-        may_skip_heard = view.contact_window_s <= self._context.operator.silent_s
+        is_reporting = view.contact_check()
+        timeouts = self._silence_timeouts(is_reporting)
+        # Nearly all machines report, and need no further check.
+        may_skip_reporting = view.contact_window_s <= self._context.operator.silent_s
         for machine in list(self._context.machines().values()):
             if machine.decommission_reason is not None:
                 continue
-            if may_skip_heard and machine.contact.unresponsive_since is None and is_recently_heard(machine):
+            if may_skip_reporting and machine.contact.unresponsive_since is None and is_reporting(machine):
                 continue
             if machine.is_up or machine.contact.hinted_contact_at is not None:
                 self._check_contacted(machine, timeouts[machine.kind.zone])
@@ -46,65 +46,72 @@
             else:
                 self._check_booting(machine)
 
-    def _silence_timeouts(self, is_recently_heard: Callable[[Machine], bool]) -> dict[str, Seconds]:
-        """Return by zone how long a silent machine is kept."""
-        # A machine counts as silent as soon as it is, or those silent first would be given up before the others.
+    def _silence_timeouts(self, is_reporting: Callable[[Machine], bool]) -> dict[str, Seconds]:
+        """Return the silence timeout by zone."""
+        # Each silent machine counts at once; otherwise the first ones of a partition would be decommissioned before the
+        # partition is recognized.
         known_by_zone: Counter[str] = Counter()
         silent_by_zone: Counter[str] = Counter()
         for machine in self._context.machines().values():
             if machine.is_up or machine.contact.hinted_contact_at is not None:
                 known_by_zone[machine.kind.zone] += 1
-                is_silent = not is_recently_heard(machine) or machine.contact.unresponsive_since is not None
+                is_silent = not is_reporting(machine) or machine.contact.unresponsive_since is not None
                 silent_by_zone[machine.kind.zone] += is_silent
         list_lag_s = self._context.facts.cloud.list_lag_s
-        cloud_list_s = DEAD_MACHINE_LISTED_S + 2 * LIST_LAG_FACTOR * list_lag_s
-        return silence_timeout_by_zone(known_by_zone, silent_by_zone, self._context.operator.silent_s, cloud_list_s)
+        cloud_list_timeout_s = DEAD_MACHINE_LISTED_S + 2 * LIST_LAG_FACTOR * list_lag_s
+        return silence_timeout_by_zone(
+            known_by_zone, silent_by_zone, self._context.operator.silent_s, cloud_list_timeout_s
+        )
 
     def _check_contacted(self, machine: Machine, timeout_s: Seconds) -> None:
-        """Check a machine that this leader or, by its hints, the one before has heard.
+        """Check a machine that has had contact with this leader or, by its hints, with the previous leader.
 
-        What the leader before heard is judged as if this leader had heard it, once the machine had time to report here.
+        Contact with the previous leader counts like contact with this one once the machine has had time to report here.
         """
         view, host = self._context.host.scheduling_view, self._context.host
-        led_s = self._context.now - self._context.started_at
-        had_time_to_report = machine.is_up or led_s > view.contact_window_s
+        term_age_s = self._context.now - self._context.started_at
+        has_had_time_to_report = machine.is_up or term_age_s > view.contact_window_s
         silence_s = view.silence_s(machine)
-        if had_time_to_report and silence_s > timeout_s:
-            self._decommissioner.decommission(machine, f"silent for {silence_s:.1f} s", is_only_silent=True)
+        if has_had_time_to_report and silence_s > timeout_s:
+            self._decommissioner.decommission(machine, f"silent for {silence_s:.1f} s", is_silence_only=True)
         elif machine.contact.unresponsive_since is not None and self._is_unreachable_too_long(
             machine, machine.contact.unresponsive_since, timeout_s
         ):
-            self._decommissioner.decommission(machine, "it reports, and nothing reaches it", is_only_silent=True)
+            self._decommissioner.decommission(machine, "reports, but is unreachable", is_silence_only=True)
         elif view.is_silent(machine) or machine.contact.unresponsive_since is not None:
             host.dispatcher.probe(machine.id)
 
-    def _is_unreachable_too_long(self, machine: Machine, since: Instant, timeout_s: Seconds) -> bool:
-        """Return whether a machine that reports but answers nothing is given up.
+    def _is_unreachable_too_long(self, machine: Machine, unresponsive_since: Instant, timeout_s: Seconds) -> bool:
+        """Return whether a machine that reports but does not respond to commands is to be decommissioned.
 
-        If answers don't reach it either, its lease has run out and its tasks are gone; if they do, what it runs may go
-        on. It is kept for a lease, and as long again as a silent one of its zone would be.
+        If heartbeat responses reach the machine, its worker lease is renewed and its started tasks go on, so a machine
+        with started tasks is kept. If they do not, its lease runs out and its tasks end. A machine without started
+        tasks is kept for one lease and the silence timeout of its zone.
         """
         has_started_tasks = any(
             (placement.task, placement.attempt) not in machine.proof.open_starts
             for placement in machine.placements.values()
         )
-        return not has_started_tasks and self._context.now - since > self._context.facts.workers.lease_s + timeout_s
+        return (
+            not has_started_tasks
+            and self._context.now - unresponsive_since > self._context.facts.workers.lease_s + timeout_s
+        )
 
     def _check_inherited(self, machine: Machine) -> None:
-        """Check a machine that was up under an earlier leader; its worker may still look for this one."""
+        """Check a machine that was up under an earlier leader; its worker may not have found this leader yet."""
         if machine.address is not None:
             self._context.host.dispatcher.probe(machine.id)
         known_since = max(self._context.started_at, machine.contact.first_seen_at)
         if self._context.now - known_since > self._context.facts.workers.lease_s:
-            self._decommissioner.decommission(machine, "silent since it is known to this term", is_only_silent=True)
+            self._decommissioner.decommission(machine, "no contact in this term", is_silence_only=True)
 
     def _check_booting(self, machine: Machine) -> None:
-        """Give up a machine that has not come up in several times the boot time."""
+        """Decommission a machine that has not come up within its boot timeout."""
         now = self._context.now
-        give_up_s = UNKNOWN_TYPE_GIVE_UP_S
+        timeout_s = UNKNOWN_TYPE_BOOT_TIMEOUT_S
         if machine.machine_type:
-            give_up_s = self._context.boot_times.give_up_after_s(machine.machine_type, now)
+            timeout_s = self._context.boot_times.boot_timeout_s(machine.machine_type, now)
         waited_s = now - max(machine.rented_at, Instant(0.0))
-        is_overdue = waited_s > give_up_s + 2 * self._context.facts.cloud.list_lag_s
-        if is_overdue and now - self._context.started_at > MIN_BOOT_WATCH_S:
-            self._decommissioner.decommission(machine, f"not up {waited_s:.0f} s after its rental")
+        is_overdue = waited_s > timeout_s + 2 * self._context.facts.cloud.list_lag_s
+        if is_overdue and now - self._context.started_at > MIN_TERM_AGE_S:
+            self._decommissioner.decommission(machine, f"not up {waited_s:.0f} s after its creation")
--- a/meadowcross/autoscaling/machine_kinds.py
+++ b/meadowcross/autoscaling/machine_kinds.py
@@ -1,4 +1,4 @@
-"""What machine kinds exist, what they cost, and which of them are expensive. Pure functions."""
+"""The machine kinds that exist, their prices, and which of them are expensive. Pure functions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def list_machine_kinds(machine_types: Iterable[MachineType]) -> Iterator[tuple[MachineKind, MachineType]]:
-    """Yield all kinds that the cloud may provide: each type in each of its zones, spot and on demand."""
+    """Yield all kinds that the cloud may provide, with their types: each type in its zones, as spot and on demand."""
     for machine_type in machine_types:
         for zone in machine_type.zones:
             for spot in (True, False):
@@ -19,20 +19,30 @@
 
 
 def kind_price(kind: MachineKind, machine_type: MachineType) -> float:
-    """Return the price of such a machine, in the cloud's unit per second."""
+    """Return the price of a machine of the kind per second, in the unit of the cloud's API."""
     return machine_type.spot_price if kind.spot else machine_type.price
 
 
 def find_expensive_kinds(machine_types: Iterable[MachineType], multiple: float) -> set[MachineKind]:
-    """Return the kinds whose CPUs cost more than `multiple` times the cheapest; they are used only under pressure."""
-    prices = {kind: kind_price(kind, t) / t.cpus for kind, t in list_machine_kinds(machine_types)}
-    cheapest = min(prices.values(), default=0.0)
-    return {kind for kind, price in prices.items() if price > multiple * cheapest}
-
-
-def requires_expensive_kind(spec: JobSpec, machine_types: Iterable[MachineType], expensive: set[MachineKind]) -> bool:
-    """Return whether only expensive kinds may run the job; it then may use them without pressure."""
+    """Return the kinds whose price per CPU is more than `multiple` times the lowest.
+
+    They are used only for demands at risk, and for jobs that no other kind may run.
+    """
+    prices = {
+        kind: kind_price(kind, machine_type) / machine_type.cpus
+        for kind, machine_type in list_machine_kinds(machine_types)
+    }
+    cheapest_price = min(prices.values(), default=0.0)
+    return {kind for kind, price in prices.items() if price > multiple * cheapest_price}
+
+
+def requires_expensive_kind(
+    spec: JobSpec, machine_types: Iterable[MachineType], expensive_kinds: set[MachineKind]
+) -> bool:
+    """Return whether only expensive kinds may run the job; then it may use them without being at risk."""
     return not any(
-        kind not in expensive and is_kind_allowed(spec, kind) and count_slots(spec, t.cpus, t.gpus, t.memory_gb) > 0
-        for kind, t in list_machine_kinds(machine_types)
+        kind not in expensive_kinds
+        and is_kind_allowed(spec, kind)
+        and count_slots(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb) > 0
+        for kind, machine_type in list_machine_kinds(machine_types)
     )
--- a/meadowcross/autoscaling/machine_list.py
+++ b/meadowcross/autoscaling/machine_list.py
@@ -1,4 +1,4 @@
-"""Reconciles the known machines with the cloud's list of machines."""
+"""Reconciles the known machines with the cloud's machine list."""
 
 from __future__ import annotations
 
@@ -14,28 +14,29 @@
 log = get_logger("fleet")
 
 LIST_LAG_FACTOR = 1.5
-"""A list is asked for after so many times the lag that the cloud states for it."""
+"""The list is read again after this multiple of the lag that the cloud states for it, or after the minimum."""
 MIN_LIST_INTERVAL_S = 2.0
+"""Minimum time between the end of a read and the next one."""
 MAX_ABSENCES = 3
-"""A list may be older than the one before, so a single absence of a machine means nothing."""
+"""Consecutive lists without a machine until it counts as vanished: a single list may be out of date."""
 STATE_RUNNING = "running"
 STATE_FAILED = "failed"
 
 
 class MachineListReconciler:
-    """Reads the cloud's machine list from time to time: finds unknown, failed and vanished machines."""
+    """Reads the cloud's machine list periodically: adds unknown machines, decommissions failed and vanished ones."""
 
     def __init__(self, context: AutoscalerContext, cloud: CloudClient, decommissioner: Decommissioner) -> None:
         self._context = context
         self._cloud = cloud
         self._decommissioner = decommissioner
-        self._listed: set[MachineId] = set()
-        self._absences: dict[MachineId, int] = {}
+        self._ever_listed_ids: set[MachineId] = set()
+        self._absence_counts: dict[MachineId, int] = {}
         self._next_list_at = 0.0
         self._is_listing = False
 
     def refresh_if_due(self) -> None:
-        """Begin to read the list, if it is time to and it is not being read."""
+        """Start to read the list if it is due and no read is in progress."""
         if not self._is_listing and self._context.now >= self._next_list_at:
             self._is_listing = True
             Deferred.fromCoroutine(self._refresh())
@@ -46,7 +47,7 @@
             if self._context.is_running:
                 self._apply(machines)
         except CloudError as error:
-            log.info("machine list: %s", error)
+            log.info("reading the machine list failed error=%s", error)
         finally:
             self._is_listing = False
             lag_s = self._context.facts.cloud.list_lag_s
@@ -56,40 +57,40 @@
         now = self._context.now
         listed_ids = set()
         described_at: Instant | None = None
-        for listed in machines:
-            listed_ids.add(listed.id)
-            known = self._context.machines().get(listed.id)
-            if known is not None and known.is_rental_time_known:
-                # The machine's age in the list tells what time the list describes.
-                described_at = Instant(max(described_at or 0.0, known.rented_at + listed.age_s))
-            if not self._decommissioner.is_deleted(listed.id):
-                self._apply_machine(listed, now)
+        for listed_machine in machines:
+            listed_ids.add(listed_machine.id)
+            known_machine = self._context.machines().get(listed_machine.id)
+            if known_machine is not None and known_machine.is_rental_time_known:
+                # The creation time of the machine and its age in the list give the instant that the list describes.
+                described_at = Instant(max(described_at or 0.0, known_machine.rented_at + listed_machine.age_s))
+            if not self._decommissioner.is_deleted(listed_machine.id):
+                self._apply_machine(listed_machine, now)
         self._context.host.on_cloud_list(described_at)
-        self._listed.update(listed_ids)
+        self._ever_listed_ids.update(listed_ids)
         self._decommission_vanished(listed_ids)
 
-    def _apply_machine(self, listed: ListedMachine, now: Instant) -> None:
+    def _apply_machine(self, listed_machine: ListedMachine, now: Instant) -> None:
         host = self._context.host
-        is_new = listed.id not in self._context.machines()
-        machine = host.add_machine(listed.id, listed.kind)
+        is_new = listed_machine.id not in self._context.machines()
+        machine = host.add_machine(listed_machine.id, listed_machine.kind)
         if is_new:
-            # Created for an earlier leader, or by a request executed late: it is used, or returned.
-            log.info("machine %s found in the list: %s", listed.id, listed.state)
-            machine.rented_at = Instant(now - listed.age_s)
-        if listed.addr is not None and machine.address is None and listed.state == STATE_RUNNING:
-            machine.address = listed.addr
+            # It was created for an earlier leader, or by a request executed late; it is used, or deleted when idle.
+            log.info("unknown machine listed machine=%s state=%s", listed_machine.id, listed_machine.state)
+            machine.rented_at = Instant(now - listed_machine.age_s)
+        if listed_machine.addr is not None and machine.address is None and listed_machine.state == STATE_RUNNING:
+            machine.address = listed_machine.addr
             host.dispatcher.probe(machine.id)
         if not machine.is_stored:
             host.store_machine(machine)
-        if listed.state == STATE_FAILED:
-            self._decommissioner.decommission(machine, "the cloud lists it as failed")
+        if listed_machine.state == STATE_FAILED:
+            self._decommissioner.decommission(machine, "listed as failed")
 
     def _decommission_vanished(self, listed_ids: set[MachineId]) -> None:
-        """Give up silent machines that were listed before and are absent from several lists in a row."""
+        """Decommission silent machines that were listed before and are absent from several lists in a row."""
         for machine in self._context.machines().values():
-            if machine.id in listed_ids or machine.id not in self._listed:
-                self._absences.pop(machine.id, None)
+            if machine.id in listed_ids or machine.id not in self._ever_listed_ids:
+                self._absence_counts.pop(machine.id, None)
                 continue
-            absences = self._absences[machine.id] = self._absences.get(machine.id, 0) + 1
-            if absences >= MAX_ABSENCES and self._context.host.scheduling_view.is_silent(machine):
-                self._decommissioner.decommission(machine, "it left the machine list")
+            absence_count = self._absence_counts[machine.id] = self._absence_counts.get(machine.id, 0) + 1
+            if absence_count >= MAX_ABSENCES and self._context.host.scheduling_view.is_silent(machine):
+                self._decommissioner.decommission(machine, "missing from the machine list")
--- a/meadowcross/autoscaling/messages.py
+++ b/meadowcross/autoscaling/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the cloud's API, and machines as stored. Names on the wire stand here only."""
+"""Messages of the cloud's API, and the stored machine records. Names on the wire are defined only here."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class MachineType(Struct, frozen=True):
-    """A machine type that the cloud offers: resources of one machine, prices, times in seconds."""
+    """A machine type that the cloud offers: resources and prices of one machine, times in seconds."""
 
     name: str = field(name="label")
     cpus: float
@@ -24,13 +24,13 @@
 
 
 class MachineTypeList(Struct):
-    """The answer to a request for the machine types; stored in the same form."""
+    """The response with the machine types; stored in the same form."""
 
     types: list[MachineType] = field(name="builds")
 
 
 class CreateMachinesRequest(Struct):
-    """A request for machines; the cloud executes one `request_id` at most once."""
+    """A request to create machines; the cloud executes each `request_id` at most once."""
 
     request_id: str = field(name="hire")
     type: str = field(name="build")
@@ -58,19 +58,19 @@
 
     @property
     def kind(self) -> MachineKind:
-        """Its type, zone and market."""
+        """The kind of the machine: its type, its zone, and spot or on demand."""
         return MachineKind(self.type, self.zone, self.spot)
 
 
 class MachineListPage(Struct):
-    """One page of the cloud's list, in the order of ids."""
+    """One page of the cloud's machine list, in the order of ids."""
 
     machines: list[ListedMachine] = field(name="stalls")
     has_more: bool = field(name="hasNext", default=False)
 
 
 class MachineRecord(Struct):
-    """A known machine as stored, so that a new leader finds it at once."""
+    """A stored machine, so that a new leader knows it at once."""
 
     type: str = field(name="b")
     zone: str = field(name="f")
--- a/meadowcross/autoscaling/scale_in.py
+++ b/meadowcross/autoscaling/scale_in.py
@@ -1,4 +1,4 @@
-"""Scaling in: drains machines that the work at hand does not need, and returns idle ones."""
+"""Scaling in: drains machines that the current load does not need, and decommissions idle ones."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class ScaleIn:
-    """Decides which machines drain, and decommissions the idle ones.
+    """Decides which machines to drain, and decommissions idle ones.
 
-    Where work may not wait for cheaper capacity, nothing is drained and no kind is expensive: once the machines that a
-    site had from its start were returned as expensive one by one, while its idle-time work waited for room.
+    If jobs may not wait for cheaper capacity, no machine is drained and no kind is expensive: once the machines that a
+    site had from its start were deleted one by one as expensive, while its low-priority jobs waited for capacity.
     """
 
     def __init__(self, context: AutoscalerContext, demand: DemandTracker, decommissioner: Decommissioner) -> None:
@@ -31,18 +31,18 @@
         self._decommissioner = decommissioner
 
     def run(self) -> None:
-        """Update which machines drain, and return those that were idle for long enough."""
+        """Update which machines are draining, and decommission those that were idle for long enough."""
         self._demand.record_times()
         self._update_draining()
         for machine in self._context.machines().values():
             if machine.is_up and not machine.placements and machine.decommission_reason is None:
-                self._return_if_idle(machine)
+                self._decommission_if_idle(machine)
 
     def _update_draining(self) -> None:
-        """Drain what is surplus if nothing has waited lately; expensive machines if nothing was at risk; else none."""
+        """Drain surplus machines if no demand was recent, expensive ones if no demand at risk was recent, else none."""
         context, demand = self._context, self._demand
         now, drain_after_s = context.now, context.operator.drain_after_s
-        if context.saves_money and now - demand.last_demand_at > drain_after_s:
+        if context.is_cost_sensitive and now - demand.last_demand_at > drain_after_s:
             self._drain_surplus()
         elif now - demand.last_at_risk_at > drain_after_s:
             self._drain_expensive()
@@ -51,7 +51,7 @@
                 machine.is_draining = False
 
     def _drain_surplus(self) -> None:
-        """Drain the machines that the work at hand does not need, and evict from them what can save a checkpoint."""
+        """Drain the machines that the current load does not need, and evict their checkpointable tasks."""
         view = self._context.host.scheduling_view
         usages = [
             MachineUsage(
@@ -69,7 +69,7 @@
         for machine in self._context.machines().values():
             if machine.is_draining != (machine.id in surplus):
                 machine.is_draining = not machine.is_draining
-                log.debug("machine %s draining: %s", machine.id, machine.is_draining)
+                log.debug("draining changed machine=%s draining=%s", machine.id, machine.is_draining)
             if machine.is_draining:
                 self._evict_checkpointable(machine)
 
@@ -78,14 +78,18 @@
         is_expensive = machine.kind in self._demand.expensive_kinds
         for placement, grace_s in plan_drain_evictions(machine, host.job_table, host.runs, self._context.now):
             spec = host.job_table.jobs[placement.task.job].spec
-            # What only expensive kinds may run would come back to one, so it stays.
+            # A task that only expensive kinds may run is not evicted, as it would be placed on such a kind again.
             if not is_expensive or not self._demand.requires_expensive_kind(spec):
                 host.stop_task(placement, grace_s)
 
     def _drain_expensive(self) -> None:
-        """Drain the expensive machines that no work requires."""
+        """Drain the expensive machines that no waiting or running task requires."""
         demand = self._demand
-        waiting_specs = [each.spec for each in demand.demands if demand.requires_expensive_kind(each.spec)]
+        waiting_specs = [
+            capacity_demand.spec
+            for capacity_demand in demand.demands
+            if demand.requires_expensive_kind(capacity_demand.spec)
+        ]
         for machine in self._context.machines().values():
             machine.is_draining = (
                 machine.kind in demand.expensive_kinds
@@ -94,9 +98,9 @@
             )
 
     def _is_required(self, machine: Machine, waiting_specs: list[JobSpec]) -> bool:
-        """Return whether no cheaper machine may run what waits, or what runs on this expensive one.
+        """Return whether a waiting job, or one with tasks on this machine, may not run on a cheaper kind.
 
-        Once every on-demand machine was drained as expensive, and work that may use no other kind waited for ever.
+        Once every on-demand machine was drained as expensive, and jobs that may use no other kind waited forever.
         """
         jobs = self._context.host.job_table.jobs
         job_ids = {placement.task.job for placement in machine.placements.values()}
@@ -105,27 +109,27 @@
             self._demand.requires_expensive_kind(spec) for spec in running_specs
         )
 
-    def _return_if_idle(self, machine: Machine) -> None:
-        """Decommission a machine without tasks once it was idle for long enough and its minimum charge is used up."""
+    def _decommission_if_idle(self, machine: Machine) -> None:
+        """Decommission a machine without tasks after its idle timeout and the minimum charge of the cloud."""
         if machine.reported.orphaned:
             return
         now = self._context.now
         idle_s = now - machine.idle_since
-        keep_s = 0.0
+        timeout_s = 0.0
         if not machine.is_draining or machine.kind not in self._demand.expensive_kinds:
-            keep_s = self._idle_keep_s(machine)
-        may_return = machine.is_draining or not self._demand.demands
-        if may_return and idle_s >= keep_s and now - machine.rented_at >= MIN_CHARGE_S:
+            timeout_s = self._idle_timeout_s(machine)
+        may_decommission = machine.is_draining or not self._demand.demands
+        if may_decommission and idle_s >= timeout_s and now - machine.rented_at >= MIN_CHARGE_S:
             self._decommissioner.decommission(machine, f"idle for {idle_s:.0f} s")
 
-    def _idle_keep_s(self, machine: Machine) -> Seconds:
+    def _idle_timeout_s(self, machine: Machine) -> Seconds:
         """Return how long an idle machine is kept.
 
-        It may cost as much as the boot that returning it may bring; where money does not count it is kept while more
-        work of some class is likely to come.
+        If cost counts, it is kept for `idle_keep_boots` boot times: keeping it may cost as much as the boot of a
+        replacement. Else it is kept for `ready_keep_s`, while more jobs of some class are likely to be submitted.
         """
         operator = self._context.operator
-        if not self._context.saves_money:
+        if not self._context.is_cost_sensitive:
             return operator.ready_keep_s
         machine_type = machine.machine_type
         boot_s = self._context.expected_boot_s(machine_type) if machine_type is not None else 0.0
--- a/meadowcross/autoscaling/sizing.py
+++ b/meadowcross/autoscaling/sizing.py
@@ -1,4 +1,4 @@
-"""How many machines of which kinds to create for the queue. Pure functions."""
+"""Plans how many machines of which kinds to create for the demands of the queue. Pure functions."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
 from meadowcross.placement.model import TaskShape, count_slots, is_kind_allowed, task_shape
 
 MIN_CHARGE_S: Seconds = 60.0
-"""The cloud charges a deleted machine for at least this long."""
+"""The cloud charges each machine for at least this time, even if it is deleted earlier."""
 MIN_FETCH_GB_PER_S = 0.01
-"""A type that states a lower fetch rate is taken to have this one."""
+"""Lower bound for the fetch rate that a machine type states."""
 UNUSED_COST_SHARE = 0.5
-"""Room that the demand leaves unused costs this share of its price, since other work will use some of it."""
+"""Share of the price that counts for capacity that a demand leaves unused, as other jobs will use some of it."""
 
 
 @dataclass(slots=True)
 class CapacityDemand:
-    """Tasks of one job that no machine has room for now."""
+    """Tasks of one job that wait for capacity."""
 
     spec: JobSpec
     task_count: int
     expected_run_s: Seconds
     is_at_risk: bool = True
-    """It would miss its deadline or objective if it waited for the capacity there is."""
+    """Whether the job would miss its deadline or objective if it waited for the existing machines."""
     placed_by_zone: dict[str, int] = field(default_factory=dict)
-    """How many of the job's tasks count in each zone already."""
+    """Number of the job's tasks that count in each zone already."""
 
 
 @dataclass(slots=True)
 class IncomingCapacity:
-    """Room that will be there soon: of a machine that boots, or of tasks about to end."""
+    """Free capacity of one kind, now or soon: of requested, booting and running machines, and of tasks about to end."""
 
     kind: MachineKind
     cpus: float
@@ -48,21 +48,21 @@
 
 
 class ScaleOutRequest(NamedTuple):
-    """Machines of one kind to create."""
+    """Number of machines of one kind to create."""
 
     kind: MachineKind
     machine_count: int
 
 
-class Estimate(NamedTuple):
-    """What it costs to run the tasks of a demand on one kind, and how many machines it takes."""
+class CostEstimate(NamedTuple):
+    """Estimated cost of running the tasks of a demand on one kind, and the number of machines for them."""
 
     cost: float
     machine_count: int
 
 
 class _Option(NamedTuple):
-    """A kind that could take a demand. The least in the order of the fields is chosen."""
+    """A kind that can run a demand. The option that sorts first by its fields, in their order, is chosen."""
 
     cost: float
     planned_machines: int
@@ -71,11 +71,11 @@
 
 
 def mark_at_risk(demands: list[CapacityDemand], slacks_s: list[Seconds], cpus: float, boot_s: Seconds) -> None:
-    """Mark the demands that would be late on the `cpus` there are; demands and slacks are in queue order.
+    """Mark the demands that would be late on the existing `cpus`; demands and slacks are in queue order.
 
-    A demand is at risk if its slack is shorter than the wait that the work ahead of it makes, and that wait is
-    longer than a boot: money brings nothing sooner than a boot. Without the latter some job was always about to be
-    late, and all on-demand machines were kept all day for it.
+    A demand is at risk if the wait for the tasks ahead of it and its own is longer than its slack, and longer than
+    `boot_s`, as no new machine is available sooner. Without the second condition some job was always at risk, and all
+    on-demand machines were kept all day for it. If there are no CPUs, every demand is at risk.
     """
     cpu_s_ahead = 0.0
     for demand, slack_s in zip(demands, slacks_s, strict=True):
@@ -83,48 +83,51 @@
         demand.is_at_risk = cpus <= 0 or max(slack_s, boot_s) < cpu_s_ahead / cpus
 
 
-def absorb_demand(demand: CapacityDemand, incoming: Sequence[IncomingCapacity], first: int = 0) -> int:
-    """Put the demand's tasks into the incoming capacity from index `first` on; return how many are left over."""
+def absorb_demand(demand: CapacityDemand, incoming: Sequence[IncomingCapacity], first_index: int = 0) -> int:
+    """Subtract the demand's tasks from the incoming capacity from `first_index` on; return how many do not fit."""
     spec = demand.spec
     remaining = demand.task_count
-    for capacity in islice(incoming, first, None):
+    for capacity in islice(incoming, first_index, None):
         if remaining == 0:
             break
         if not is_kind_allowed(spec, capacity.kind):
             continue
-        taken = min(remaining, count_slots(spec, capacity.cpus, capacity.gpus, capacity.memory_gb))
-        capacity.cpus -= taken * spec.cpus
-        capacity.gpus -= taken * spec.gpus
-        capacity.memory_gb -= taken * spec.memory_gb
-        remaining -= taken
+        assigned = min(remaining, count_slots(spec, capacity.cpus, capacity.gpus, capacity.memory_gb))
+        capacity.cpus -= assigned * spec.cpus
+        capacity.gpus -= assigned * spec.gpus
+        capacity.memory_gb -= assigned * spec.memory_gb
+        remaining -= assigned
     return remaining
 
 
 def split_by_zone(
-    demand: CapacityDemand, incoming: Sequence[IncomingCapacity], open_kinds: Iterable[MachineKind]
+    demand: CapacityDemand, incoming: Sequence[IncomingCapacity], available_kinds: Iterable[MachineKind]
 ) -> list[CapacityDemand]:
-    """Divide the demand of a job that is bound by zones into demands of single zones.
+    """Split the demand of a job with zone constraints into demands of single zones.
 
-    Capacity that comes in another zone is none for it. Counted together, a spread service waited for ever for a
-    second zone where no machine was created, and a job of one zone for room that two zones had half of each.
+    Each part may only use incoming capacity of its zone. When all zones were counted together, a spread service waited
+    forever for a second zone where no machine was created, and a one-zone job waited for capacity of which two zones
+    had half each.
     """
     spec = demand.spec
     if spec.zone is not None or not (spec.one_zone or spec.spread):
         return [demand]
-    slots_by_zone = _incoming_slots_by_zone(spec, incoming, open_kinds)
-    shares = _share_of_one_zone(demand, slots_by_zone) if spec.one_zone else _spread_shares(demand, slots_by_zone)
+    slots_by_zone = _incoming_slots_by_zone(spec, incoming, available_kinds)
+    counts_by_zone = (
+        _assign_to_one_zone(demand, slots_by_zone) if spec.one_zone else _spread_over_zones(demand, slots_by_zone)
+    )
     return [
         CapacityDemand(replace(spec, zone=zone), count, demand.expected_run_s, demand.is_at_risk)
-        for zone, count in shares.items()
+        for zone, count in counts_by_zone.items()
         if count
     ]
 
 
 def _incoming_slots_by_zone(
-    spec: JobSpec, incoming: Sequence[IncomingCapacity], open_kinds: Iterable[MachineKind]
+    spec: JobSpec, incoming: Sequence[IncomingCapacity], available_kinds: Iterable[MachineKind]
 ) -> dict[str, int]:
-    """Return how many tasks of the job the incoming capacity holds in each zone that the job may use."""
-    slots_by_zone = {kind.zone: 0 for kind in open_kinds if is_kind_allowed(spec, kind)}
+    """Return how many tasks of the job fit into the incoming capacity of each zone that the job may use."""
+    slots_by_zone = {kind.zone: 0 for kind in available_kinds if is_kind_allowed(spec, kind)}
     for capacity in incoming:
         if is_kind_allowed(spec, capacity.kind):
             slots = count_slots(spec, capacity.cpus, capacity.gpus, capacity.memory_gb)
@@ -132,35 +135,41 @@
     return slots_by_zone
 
 
-def _share_of_one_zone(demand: CapacityDemand, slots_by_zone: dict[str, int]) -> dict[str, int]:
-    """Give all tasks to the zone of their siblings, else to the one where most capacity comes."""
+def _assign_to_one_zone(demand: CapacityDemand, slots_by_zone: dict[str, int]) -> dict[str, int]:
+    """Assign all tasks to the zone of their siblings, else to the zone with the most incoming capacity."""
     zones = list(demand.placed_by_zone)
     if not zones:
         zones = sorted(slots_by_zone, key=lambda zone: (-min(slots_by_zone[zone], demand.task_count), zone))
     return {zones[0]: demand.task_count} if zones else {}
 
 
-def _spread_shares(demand: CapacityDemand, slots_by_zone: dict[str, int]) -> dict[str, int]:
-    """Give each task to a zone with incoming capacity left, then to the one with the fewest of the job's tasks.
+def _spread_over_zones(demand: CapacityDemand, slots_by_zone: dict[str, int]) -> dict[str, int]:
+    """Assign each task to a zone with incoming capacity left, then to the zone with the fewest of the job's tasks.
 
     No zone gets more than half of all the job's tasks, rounded up.
     """
-    shares = dict.fromkeys(slots_by_zone, 0)
+    counts_by_zone = dict.fromkeys(slots_by_zone, 0)
     max_per_zone = (demand.spec.tasks + 1) // 2
     for _ in range(min(demand.task_count, 2 * max_per_zone)):
-        counts = {zone: demand.placed_by_zone.get(zone, 0) + taken for zone, taken in shares.items()}
-        open_zones = [zone for zone in shares if counts[zone] < max_per_zone]
-        if not open_zones:
+        total_by_zone = {
+            zone: demand.placed_by_zone.get(zone, 0) + assigned for zone, assigned in counts_by_zone.items()
+        }
+        zones_below_maximum = [zone for zone in counts_by_zone if total_by_zone[zone] < max_per_zone]
+        if not zones_below_maximum:
             break
-        best = min((slots_by_zone[zone] <= shares[zone], counts[zone], zone) for zone in open_zones)
-        shares[best[-1]] += 1
-    return shares
+        best_option = min(
+            (slots_by_zone[zone] <= counts_by_zone[zone], total_by_zone[zone], zone) for zone in zones_below_maximum
+        )
+        counts_by_zone[best_option[-1]] += 1
+    return counts_by_zone
 
 
-def estimate_cost(kind: MachineKind, machine_type: MachineType, demand: CapacityDemand, count: int) -> Estimate | None:
-    """Return what it costs to run `count` tasks on this kind; None if no task fits.
+def estimate_cost(
+    kind: MachineKind, machine_type: MachineType, demand: CapacityDemand, count: int
+) -> CostEstimate | None:
+    """Return the estimated cost of running `count` tasks on this kind; None if no task fits.
 
-    A machine is paid for its boot, the image fetch and one run, and at least for the minimum charge.
+    Each machine is paid for its boot, the image fetch and one run, and at least for `MIN_CHARGE_S`.
     """
     per_machine = count_slots(demand.spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
     if per_machine == 0:
@@ -169,30 +178,33 @@
     fetch_s = demand.spec.image_gb / max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
     paid_s = max(MIN_CHARGE_S, machine_type.boot_s + fetch_s + demand.expected_run_s)
     used_share = count / (machines * per_machine)
-    weight = UNUSED_COST_SHARE + (1 - UNUSED_COST_SHARE) * used_share
-    return Estimate(kind_price(kind, machine_type) * machines * paid_s * weight, machines)
+    cost_weight = UNUSED_COST_SHARE + (1 - UNUSED_COST_SHARE) * used_share
+    return CostEstimate(kind_price(kind, machine_type) * machines * paid_s * cost_weight, machines)
 
 
 def plan_scale_out(
     demands: Iterable[CapacityDemand],
     incoming: list[IncomingCapacity],
     machine_types: dict[str, MachineType],
-    unavailable: set[MachineKind],
-    expensive: set[MachineKind],
+    unavailable_kinds: set[MachineKind],
+    expensive_kinds: set[MachineKind],
 ) -> list[ScaleOutRequest]:
-    """Return the machines to create for the demands, cheapest useful kind first.
+    """Return the machines to create for the demands, for each demand of the cheapest kind that can run it.
 
-    `incoming` is used up by the demands and grows by the room that the planned machines leave. Kinds in
-    `unavailable` have no capacity now; those in `expensive` are for demands at risk, or that may use no spot machines.
+    The demands are subtracted from `incoming`, and unused capacity of the planned machines is added to it. Kinds in
+    `unavailable_kinds` have no capacity now. Kinds in `expensive_kinds` are used only for demands at risk and for jobs
+    that may not use spot machines.
     """
-    plan = _ScaleOutPlan(incoming, machine_types, unavailable, expensive)
-    open_kinds = [kind for kind, _ in list_machine_kinds(machine_types.values()) if kind not in unavailable]
-    zone_demands = [part for demand in demands for part in split_by_zone(demand, incoming, open_kinds)]
-    with_shapes = [(demand, task_shape(demand.spec)._replace(memory_gb=0.0)) for demand in zone_demands]
+    plan = _ScaleOutPlan(incoming, machine_types, unavailable_kinds, expensive_kinds)
+    available_kinds = [kind for kind, _ in list_machine_kinds(machine_types.values()) if kind not in unavailable_kinds]
+    zone_demands = [
+        zone_demand for demand in demands for zone_demand in split_by_zone(demand, incoming, available_kinds)
+    ]
+    demands_with_shapes = [(demand, task_shape(demand.spec)._replace(memory_gb=0.0)) for demand in zone_demands]
     least_memory_gb: dict[TaskShape, float] = {}
-    for demand, shape in with_shapes:
+    for demand, shape in demands_with_shapes:
         least_memory_gb[shape] = min(demand.spec.memory_gb, least_memory_gb.get(shape, inf))
-    for demand, shape in with_shapes:
+    for demand, shape in demands_with_shapes:
         plan.add(demand, shape, least_memory_gb[shape])
     return plan.requests()
 
@@ -200,37 +212,37 @@
 class _ScaleOutPlan:
     """The machines planned so far.
 
-    Two things are remembered by the tasks' shape without memory, since jobs of a swarm differ by little and asking
-    the same full rooms for each took two thirds of a leader's time: where the first incoming capacity is that may
-    still hold such a task, and from how much memory on no open kind is large enough.
+    Two facts are cached by the shape of the tasks without memory: the index of the first incoming capacity that may
+    still hold such a task, and the memory from which on no available kind is large enough. Jobs of a large
+    series differ little, and checking the same full capacity for each of them took two thirds of a leader's time.
     """
 
     def __init__(
         self,
         incoming: list[IncomingCapacity],
         machine_types: dict[str, MachineType],
-        unavailable: set[MachineKind],
-        expensive: set[MachineKind],
+        unavailable_kinds: set[MachineKind],
+        expensive_kinds: set[MachineKind],
     ) -> None:
         self._incoming = incoming
         self._machine_types = machine_types
-        self._unavailable = unavailable
-        self._expensive = expensive
-        self._machines: dict[MachineKind, int] = {}
-        self._first_open: dict[TaskShape, int] = {}
+        self._unavailable_kinds = unavailable_kinds
+        self._expensive_kinds = expensive_kinds
+        self._machine_counts: dict[MachineKind, int] = {}
+        self._first_index_by_shape: dict[TaskShape, int] = {}
         self._unsatisfied_memory_gb: dict[tuple[TaskShape, bool], float] = {}
 
     def requests(self) -> list[ScaleOutRequest]:
-        """Return what to create, by kind."""
-        return [ScaleOutRequest(kind, count) for kind, count in self._machines.items()]
+        """Return the planned machines by kind."""
+        return [ScaleOutRequest(kind, count) for kind, count in self._machine_counts.items()]
 
     def add(self, demand: CapacityDemand, shape: TaskShape, least_memory_gb: float) -> None:
-        """Plan machines for what of the demand the incoming capacity does not take.
+        """Plan machines for the tasks of the demand that do not fit into the incoming capacity.
 
         `shape` is the tasks' shape without memory, `least_memory_gb` the least memory of all demands of that shape.
         """
-        first = self._skip_full(demand.spec, shape, least_memory_gb)
-        remaining = absorb_demand(demand, self._incoming, first)
+        first_index = self._skip_full_capacity(demand.spec, shape, least_memory_gb)
+        remaining = absorb_demand(demand, self._incoming, first_index)
         memory_gb = demand.spec.memory_gb
         if remaining == 0 or memory_gb >= self._unsatisfied_memory_gb.get((shape, demand.is_at_risk), inf):
             return
@@ -238,35 +250,37 @@
         if option is None:
             self._unsatisfied_memory_gb[shape, demand.is_at_risk] = memory_gb
             return
-        self._machines[option.kind] = option.planned_machines + option.machine_count
-        self._add_spare_room(demand.spec, remaining, option)
+        self._machine_counts[option.kind] = option.planned_machines + option.machine_count
+        self._add_unused_capacity(demand.spec, remaining, option)
 
-    def _skip_full(self, spec: JobSpec, shape: TaskShape, least_memory_gb: float) -> int:
+    def _skip_full_capacity(self, spec: JobSpec, shape: TaskShape, least_memory_gb: float) -> int:
         """Return the index of the first incoming capacity that may hold a task of the shape."""
-        first = self._first_open.get(shape, 0)
-        while first < len(self._incoming) and not _has_room(self._incoming[first], spec, least_memory_gb):
-            first += 1
-        self._first_open[shape] = first
-        return first
+        first_index = self._first_index_by_shape.get(shape, 0)
+        while first_index < len(self._incoming) and not _has_capacity_for(
+            self._incoming[first_index], spec, least_memory_gb
+        ):
+            first_index += 1
+        self._first_index_by_shape[shape] = first_index
+        return first_index
 
     def _cheapest_option(self, demand: CapacityDemand, remaining: int) -> _Option | None:
-        """Return the kind that runs the remaining tasks at the least cost; None if no kind may and can."""
+        """Return the option that runs the remaining tasks at the least cost; None if no available kind may run them."""
         spec = demand.spec
         may_use_expensive = demand.is_at_risk or not spec.spot
         options = []
         for kind, machine_type in list_machine_kinds(self._machine_types.values()):
-            if kind in self._unavailable or not is_kind_allowed(spec, kind):
+            if kind in self._unavailable_kinds or not is_kind_allowed(spec, kind):
                 continue
-            if kind in self._expensive and not may_use_expensive:
+            if kind in self._expensive_kinds and not may_use_expensive:
                 continue
             estimate = estimate_cost(kind, machine_type, demand, remaining)
             if estimate is not None:
-                planned = self._machines.get(kind, 0)
-                options.append(_Option(estimate.cost, planned, kind, estimate.machine_count))
+                planned_machines = self._machine_counts.get(kind, 0)
+                options.append(_Option(estimate.cost, planned_machines, kind, estimate.machine_count))
         return min(options, default=None)
 
-    def _add_spare_room(self, spec: JobSpec, remaining: int, option: _Option) -> None:
-        """Count what the remaining tasks leave of the planned machines as incoming for the demands behind."""
+    def _add_unused_capacity(self, spec: JobSpec, remaining: int, option: _Option) -> None:
+        """Add the capacity of the planned machines that the remaining tasks leave unused to the incoming capacity."""
         machine_type = self._machine_types[option.kind.type]
         machines = option.machine_count
         per_machine = count_slots(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
@@ -281,7 +295,7 @@
             )
 
 
-def _has_room(capacity: IncomingCapacity, spec: JobSpec, memory_gb: float) -> bool:
+def _has_capacity_for(capacity: IncomingCapacity, spec: JobSpec, memory_gb: float) -> bool:
     return (
         capacity.cpus + EPSILON >= spec.cpus
         and capacity.gpus + EPSILON >= spec.gpus
--- a/meadowcross/autoscaling/surplus.py
+++ b/meadowcross/autoscaling/surplus.py
@@ -1,4 +1,4 @@
-"""Which machines the work at hand can do without. Pure functions."""
+"""Selects the machines that the current load does not need. Pure functions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class MachineUsage:
-    """A machine that may be drained: its size, what is used of it, what it costs."""
+    """A machine that may be drained: its resources, the used part of them, and its price."""
 
     machine: MachineId
     cpus: float
@@ -21,18 +21,20 @@
 
     @property
     def price_per_cpu(self) -> float:
-        """The price of one CPU of the machine."""
+        """Price of the machine divided by its CPUs."""
         return self.price / self.cpus
 
 
-def select_surplus_machines(usages: Iterable[MachineUsage], spare_share: float) -> list[MachineId]:
-    """Return the machines to drain, most expensive CPUs first.
+def select_surplus_machines(machine_usages: Iterable[MachineUsage], spare_share: float) -> list[MachineId]:
+    """Return the machines to drain, those with the most expensive CPUs first.
 
-    The others have room for all that runs on all of them now, and `spare_share` more. Draining only changes which
-    machines are candidates; the score decides among these, so that spreading does not keep each machine a
-    little busy.
+    The remaining machines have capacity for everything that runs on all of them now, and `spare_share` more. Draining
+    only removes machines from the candidates of the placement: the score spreads tasks over the remaining candidates,
+    so they do not keep every machine slightly used.
     """
-    machines = sorted(usages, key=lambda usage: (-usage.price_per_cpu, usage.used_cpus / usage.cpus, usage.machine))
+    machines = sorted(
+        machine_usages, key=lambda usage: (-usage.price_per_cpu, usage.used_cpus / usage.cpus, usage.machine)
+    )
     used_cpus = sum(usage.used_cpus for usage in machines)
     used_memory_gb = sum(usage.used_memory_gb for usage in machines)
     spare_cpus = sum(usage.cpus for usage in machines) - used_cpus * (1 + spare_share)
--- a/tests/autoscaling/test_silent_machines.py
+++ b/tests/autoscaling/test_silent_machines.py
@@ -1,4 +1,4 @@
-"""For how long silent machines are kept."""
+"""Silence timeouts, and decommissioning of silent and unreachable machines."""
 
 from __future__ import annotations
 
@@ -6,82 +6,97 @@
 
 from meadowcross.autoscaling.silence_timeouts import silence_timeout_by_zone
 
-CASES = [
-    # name, silent and all machines by zone, patience by zone (8 s usually, 45 s until the list must have told)
-    ("a few", {"east": (2, 3)}, {"east": 8.0}),
-    ("fewer than half", {"east": (40, 100), "west": (0, 10)}, {"east": 8.0, "west": 8.0}),
-    ("a small zone is cut off", {"east": (20, 20), "west": (0, 100)}, {"east": 8.0, "west": 8.0}),
-    ("the zone with most machines is cut off", {"east": (95, 100), "west": (0, 20)}, {"east": 45.0, "west": 16.0}),
-    ("we are cut off", {"east": (100, 100), "west": (20, 20)}, {"east": 45.0, "west": 45.0}),
-    ("most died, others beside them report", {"east": (60, 100), "west": (15, 20)}, {"east": 16.0, "west": 16.0}),
-    ("nobody was ever heard", {}, {}),
+TIMEOUT_CASES = [
+    # name, silent and all machines by zone, timeout by zone (8 s usually, 45 s until the list shows dead machines)
+    ("few silent", {"east": (2, 3)}, {"east": 8.0}),
+    ("fewer than half silent", {"east": (40, 100), "west": (0, 10)}, {"east": 8.0, "west": 8.0}),
+    ("small zone partitioned", {"east": (20, 20), "west": (0, 100)}, {"east": 8.0, "west": 8.0}),
+    ("largest zone partitioned", {"east": (95, 100), "west": (0, 20)}, {"east": 45.0, "west": 16.0}),
+    ("leader partitioned", {"east": (100, 100), "west": (20, 20)}, {"east": 45.0, "west": 45.0}),
+    ("most silent, others of their zones report", {"east": (60, 100), "west": (15, 20)}, {"east": 16.0, "west": 16.0}),
+    ("no machine known", {}, {}),
 ]
 
 
-@pytest.mark.parametrize(("zones", "kept"), [c[1:] for c in CASES], ids=[c[0] for c in CASES])
-def test_patience(zones, kept):
+@pytest.mark.parametrize(
+    ("zones", "expected"), [case[1:] for case in TIMEOUT_CASES], ids=[case[0] for case in TIMEOUT_CASES]
+)
+def test_silence_timeout_by_zone(zones, expected):
     known = {zone: count for zone, (_, count) in zones.items()}
-    silent = {zone: quiet for zone, (quiet, _) in zones.items()}
-    assert silence_timeout_by_zone(known, silent, 8.0, 45.0) == kept
+    silent = {zone: silent_count for zone, (silent_count, _) in zones.items()}
+    assert silence_timeout_by_zone(known, silent, 8.0, 45.0) == expected
 
 
-def test_the_room_of_deleted_machines_is_asked_for_at_once(world):
-    """A kind that was refused is left alone for 12 s; the death of its machines makes room for it."""
+def test_deletion_of_a_failed_machine_makes_its_kind_available_again(world):
+    """A kind without capacity is not requested for 12 s; deleting a failed machine frees capacity for it."""
     term = world.lead()
     world.submit(heads=8, cpus=2.0, builds=["small"], grazeS=600.0, sundownS=None)
     world.pass_time(6.0)
     assert world.running()
-    (dead,) = {p.machine for p in term.job_table.jobs["wk-000001"].placements.values() if p.task.number == 0}
-    kind = term.worker_registry.machines[dead].kind
+    (failed_machine,) = {
+        placement.machine
+        for placement in term.job_table.jobs["wk-000001"].placements.values()
+        if placement.task.number == 0
+    }
+    kind = term.worker_registry.machines[failed_machine].kind
     term.autoscaler.kind_availability.mark_unavailable(kind, 1000.0)
-    world.net.hosts.pop(world.workers.pop(dead).machine["addr"])
+    world.net.hosts.pop(world.workers.pop(failed_machine).machine["addr"])
     world.cloud.on_delete = lambda name: None
     known = set(world.cloud.machines)
     world.pass_time(8.0)
-    assert not [m for n, m in world.cloud.machines.items() if n not in known], "asked for while it was refused"
+    assert not [machine for machine_id, machine in world.cloud.machines.items() if machine_id not in known], (
+        "requested while it was unavailable"
+    )
     world.pass_time(5.0)
-    assert dead in world.cloud.deleted
+    assert failed_machine in world.cloud.deleted
     assert any(
-        (m["build"], m["field"], m["stubble"]) == kind for n, m in world.cloud.machines.items() if n not in known
+        (machine["build"], machine["field"], machine["stubble"]) == kind
+        for machine_id, machine in world.cloud.machines.items()
+        if machine_id not in known
     )
 
 
-BACK = [
-    # what becomes of the deletion, whether a machine that speaks again is kept
-    ("the cloud is down", "trouble", True),
-    ("never sent", "refuse", True),
-    ("no answer: it may still be executed", "late", False),
+REINSTATE_CASES = [
+    # name, fault of the deletion, whether the machine is reinstated
+    ("cloud outage", "trouble", True),
+    ("request not sent", "refuse", True),
+    ("no response: may still be executed", "late", False),
 ]
 
 
-@pytest.mark.parametrize(("fault", "kept"), [b[1:] for b in BACK], ids=[b[0] for b in BACK])
-def test_a_machine_that_speaks_again_before_it_was_deleted_is_taken_back(world, fault, kept):
-    """Ten machines were cut off in an outage of the cloud, came back, and were deleted when the cloud did."""
+@pytest.mark.parametrize(
+    ("fault", "is_reinstated"), [case[1:] for case in REINSTATE_CASES], ids=[case[0] for case in REINSTATE_CASES]
+)
+def test_machine_that_reports_again_before_its_deletion_is_reinstated(world, fault, is_reinstated):
+    """Guards against deleting machines that are well again.
+
+    Ten machines were partitioned during an outage of the cloud, reported again, and were deleted after the outage.
+    """
     term = world.lead()
     world.submit(heads=1, builds=["small"], grazeS=600.0, sundownS=None)
     world.pass_time(6.0)
     ((name, worker),) = world.workers.items()
     world.workers = {}
-    away = world.net.hosts.pop(worker.machine["addr"])
+    worker_handler = world.net.hosts.pop(worker.machine["addr"])
     world.cloud.trouble = fault == "trouble"
     world.net.faults = [("cloud:1/rentals/delete", fault)] * 99 if fault != "trouble" else []
     world.pass_time(12.0)
     machine = term.worker_registry.machines[name]
     assert machine.decommission_reason is not None
-    world.workers, world.net.hosts[worker.machine["addr"]] = {name: worker}, away
+    world.workers, world.net.hosts[worker.machine["addr"]] = {name: worker}, worker_handler
     world.pass_time(3.0)
     world.cloud.trouble, world.net.faults = False, []
     world.pass_time(6.0)
-    assert (name not in world.cloud.deleted) is kept
+    assert (name not in world.cloud.deleted) is is_reinstated
     assert world.running() == ["wk-000001/0"]
 
 
-def test_a_machine_that_reports_and_that_nothing_reaches_gets_no_work_and_is_given_up_when_it_is_of_no_use(world):
+def test_unreachable_machine_that_reports_gets_no_tasks_and_is_decommissioned(world):
     term = world.lead()
     world.submit(heads=1, builds=["small"], cpus=4.0, grazeS=600.0, sundownS=None)
     world.pass_time(6.0)
     ((name, worker),) = world.workers.items()
-    away = world.net.hosts.pop(worker.machine["addr"])
+    worker_handler = world.net.hosts.pop(worker.machine["addr"])
     worker.obey = lambda calls: None
     world.run(world.api().cancel("wk-000001"))
     world.pass_time(1.0)
@@ -93,9 +108,9 @@
         and not term.scheduling_view.is_schedulable(machine)
         and machine.decommission_reason is None
     )
-    world.net.hosts[worker.machine["addr"]] = away
+    world.net.hosts[worker.machine["addr"]] = worker_handler
     world.pass_time(1.0)
-    assert term.scheduling_view.is_schedulable(machine), "taken back when answers arrive"
+    assert term.scheduling_view.is_schedulable(machine), "schedulable again when its responses arrive"
     world.net.hosts.pop(worker.machine["addr"])
     term.placement_writer.dispatcher.probe(name)
     machine.contact.unresponsive_since = term.context.now
@@ -103,8 +118,8 @@
     assert name in world.cloud.deleted
 
 
-def test_a_start_without_an_answer_is_told_again_once_its_machine_answers(world):
-    """It waited on a machine that was well again until the next leader came."""
+def test_start_without_response_is_sent_again_once_the_machine_responds(world):
+    """Guards against a start that is not sent again to a recovered machine until the next leader takes over."""
     term = world.lead()
     world.net.faults = [("i-000000:9000/commands", "late")] * 3
     world.submit(heads=1, builds=["small"], grazeS=600.0)
@@ -116,6 +131,6 @@
     for key in list(worker.tasks):
         worker.end(key)
     world.pass_time(3.0)
-    assert worker.tasks, "so it is never reaped"
+    assert worker.tasks, "the ended task is not reaped, so a late request can't start it again"
     world.net.deliver_late()
     assert world.running() == [] and len(worker.started) == 1
--- a/tests/autoscaling/test_sizing.py
+++ b/tests/autoscaling/test_sizing.py
@@ -1,4 +1,4 @@
-"""Sizing: what is rented for a need, and what is drained."""
+"""Sizing: the machines to create for demands, and the surplus machines to drain."""
 
 from __future__ import annotations
 
@@ -21,95 +21,136 @@
 from simulation.standins import TYPES
 from tests.support.world import job
 
-KINDS = {t.name: t for t in decode_machine_types(encode({"builds": TYPES})).types}
-DEAR = find_expensive_kinds(KINDS.values(), 2.0)
+MACHINE_TYPES = {
+    machine_type.name: machine_type for machine_type in decode_machine_types(encode({"builds": TYPES})).types
+}
+EXPENSIVE_KINDS = find_expensive_kinds(MACHINE_TYPES.values(), 2.0)
 
 
-def need(count, pressed=True, **changes):
-    return CapacityDemand(msgspec.convert(job(**changes), JobSpec), count, 30.0, pressed)
+def make_demand(count, is_at_risk=True, **changes):
+    return CapacityDemand(msgspec.convert(job(**changes), JobSpec), count, 30.0, is_at_risk)
 
 
 SMALL_EAST = MachineKind("small", "east", True)
-SPOT = {MachineKind("small", zone, True) for zone in ("east", "west")}
-PLANS = [
-    ("cheapest that holds it", need(4), [], set(), [("small", True, 1)]),
-    ("many tasks, equal prices", need(64), [], set(), [("large", True, 4)]),
-    ("ordinary only", need(4, stubble=False), [], set(), [("small", False, 1)]),
-    ("room on its way is enough", need(4), [IncomingCapacity(SMALL_EAST, 4.0, 0.0, 16.0)], set(), []),
-    ("room on its way counts", need(6), [IncomingCapacity(SMALL_EAST, 4.0, 0.0, 16.0)], set(), [("small", True, 1)]),
-    ("needs a gpu", need(1, gpus=1.0), [], set(), [("large", True, 1)]),
-    ("dear under pressure", need(4, builds=["small"]), [], SPOT, [("small", False, 1)]),
-    ("not dear without", need(4, False, builds=["small"]), [], SPOT, []),
+SMALL_SPOT_KINDS = {MachineKind("small", zone, True) for zone in ("east", "west")}
+PLAN_CASES = [
+    # name, demand, incoming capacity, unavailable kinds, requests as (type, spot, machines)
+    ("cheapest kind that fits", make_demand(4), [], set(), [("small", True, 1)]),
+    ("many tasks, equal prices", make_demand(64), [], set(), [("large", True, 4)]),
+    ("on-demand only", make_demand(4, stubble=False), [], set(), [("small", False, 1)]),
+    ("incoming capacity is enough", make_demand(4), [IncomingCapacity(SMALL_EAST, 4.0, 0.0, 16.0)], set(), []),
+    (
+        "incoming capacity counts",
+        make_demand(6),
+        [IncomingCapacity(SMALL_EAST, 4.0, 0.0, 16.0)],
+        set(),
+        [("small", True, 1)],
+    ),
+    ("needs a gpu", make_demand(1, gpus=1.0), [], set(), [("large", True, 1)]),
+    (
+        "expensive kind for demand at risk",
+        make_demand(4, builds=["small"]),
+        [],
+        SMALL_SPOT_KINDS,
+        [("small", False, 1)],
+    ),
+    ("no expensive kind without risk", make_demand(4, False, builds=["small"]), [], SMALL_SPOT_KINDS, []),
 ]
 
 
-@pytest.mark.parametrize(("what", "coming", "closed", "expected"), [p[1:] for p in PLANS], ids=[p[0] for p in PLANS])
-def test_plan(what, coming, closed, expected):
-    rentals = plan_scale_out([what], coming, KINDS, closed, DEAR)
-    assert [(r.kind.type, r.kind.spot, r.machine_count) for r in rentals] == expected
+@pytest.mark.parametrize(
+    ("demand", "incoming", "unavailable_kinds", "expected"),
+    [case[1:] for case in PLAN_CASES],
+    ids=[case[0] for case in PLAN_CASES],
+)
+def test_scale_out_plan_uses_cheapest_available_kind(demand, incoming, unavailable_kinds, expected):
+    requests = plan_scale_out([demand], incoming, MACHINE_TYPES, unavailable_kinds, EXPENSIVE_KINDS)
+    assert [(request.kind.type, request.kind.spot, request.machine_count) for request in requests] == expected
 
 
-def test_pressure_is_slack_against_the_work_ahead():
-    needs = [need(10), need(10), need(10)]
-    mark_at_risk(needs, [1000.0, 50.0, 1000.0], 10.0, 5.0)
-    assert [n.is_at_risk for n in needs] == [False, True, False]
-    mark_at_risk(needs, [1000.0, 50.0, 1000.0], 10.0, 70.0)
-    assert not any(n.is_at_risk for n in needs), "room comes free sooner than a machine that is rented for it"
+def test_demand_is_at_risk_if_wait_exceeds_slack_and_boot_time():
+    demands = [make_demand(10), make_demand(10), make_demand(10)]
+    mark_at_risk(demands, [1000.0, 50.0, 1000.0], 10.0, 5.0)
+    assert [demand.is_at_risk for demand in demands] == [False, True, False]
+    mark_at_risk(demands, [1000.0, 50.0, 1000.0], 10.0, 70.0)
+    assert not any(demand.is_at_risk for demand in demands), "existing machines become free sooner than a new one boots"
 
 
-def test_surplus_drains_the_dearest_room_that_the_rest_can_do_without():
-    held = [
+def test_surplus_machines_are_the_most_expensive_ones_not_needed():
+    usages = [
         MachineUsage(MachineId("dear"), 4.0, 1.0, 16.0, 1.0, 0.4),
         MachineUsage(MachineId("cheap-busy"), 4.0, 2.0, 16.0, 1.0, 0.1),
         MachineUsage(MachineId("cheap-idle"), 4.0, 0.0, 16.0, 0.0, 0.1),
     ]
-    assert select_surplus_machines(held, 0.15) == ["dear", "cheap-idle"]
-    held[1].used_cpus = 3.9
-    assert select_surplus_machines(held, 0.15) == ["dear"]
-
-
-def test_a_swarm_of_jobs_that_look_alike_asks_each_full_room_once(monkeypatch):
-    asked, priced = [], []
-    holds, cost_of = sizing._has_room, sizing.estimate_cost
-    monkeypatch.setattr(sizing, "_has_room", lambda *arguments: asked.append(1) or holds(*arguments))
-    monkeypatch.setattr(sizing, "estimate_cost", lambda *arguments: priced.append(1) or cost_of(*arguments))
-    rooms = [IncomingCapacity(SMALL_EAST, 0.5, 0.0, 1.0) for _ in range(300)]
-    # They differ a little in memory, as a swarm's do; the first is the smallest.
-    needs = [need(1, False, builds=["small"], memoryGb=1.0 + n * 0.001) for n in range(300)]
-    assert plan_scale_out(needs, rooms, KINDS, SPOT, DEAR) == []
-    assert len(asked) == 300 and priced == []
-    # Nor where the last room has place for all of them.
-    asked.clear()
-    rooms[-1:] = [IncomingCapacity(SMALL_EAST, 300.0, 0.0, 1000.0)]
-    assert plan_scale_out(needs, rooms, KINDS, SPOT, DEAR) == [] and len(asked) < 300 + 2 * 300
-    rooms[-1] = IncomingCapacity(SMALL_EAST, 0.5, 0.0, 1.0)
-    # Nor is what has no open kind priced for each of them: here no type is large enough.
-    huge = [need(1, cpus=64.0, memoryGb=1.0 + n * 0.001) for n in range(300)]
-    assert plan_scale_out(huge, [], KINDS, set(), DEAR) == [] and len(priced) == 6
-    pressed = [need(1, builds=["small"], memoryGb=1.0), need(1, False, builds=["small"], memoryGb=1.0)]
-    assert len(plan_scale_out(pressed, [], KINDS, SPOT, DEAR)) == 1, "what is not pressed does not speak for what is"
-    # What is smaller still finds the room that is there.
-    small = need(300, False, cpus=0.5, memoryGb=1.0)
-    assert plan_scale_out([*needs, small], rooms, KINDS, SPOT, DEAR) == [] and rooms[-1].cpus == 0.0
-
-
-PAY = [
-    ("spot is allowed", {}, False),
-    ("ordinary machines only", {"stubble": False}, True),
-    ("ordinary, though it names the type", {"stubble": False, "builds": ["large"]}, True),
-    ("too large for any but the large type, which is cheap as spot", {"cpus": 16.0}, False),
+    assert select_surplus_machines(usages, 0.15) == ["dear", "cheap-idle"]
+    usages[1].used_cpus = 3.9
+    assert select_surplus_machines(usages, 0.15) == ["dear"]
+
+
+def test_full_capacity_is_checked_once_for_many_similar_jobs(monkeypatch):
+    capacity_checks, cost_estimates = [], []
+    has_capacity_for, estimate_cost = sizing._has_capacity_for, sizing.estimate_cost
+    monkeypatch.setattr(
+        sizing, "_has_capacity_for", lambda *arguments: capacity_checks.append(1) or has_capacity_for(*arguments)
+    )
+    monkeypatch.setattr(
+        sizing, "estimate_cost", lambda *arguments: cost_estimates.append(1) or estimate_cost(*arguments)
+    )
+    incoming = [IncomingCapacity(SMALL_EAST, 0.5, 0.0, 1.0) for _ in range(300)]
+    # The demands differ a little in memory; the first is the smallest.
+    demands = [make_demand(1, False, builds=["small"], memoryGb=1.0 + number * 0.001) for number in range(300)]
+    assert plan_scale_out(demands, incoming, MACHINE_TYPES, SMALL_SPOT_KINDS, EXPENSIVE_KINDS) == []
+    assert len(capacity_checks) == 300 and cost_estimates == []
+    # The same holds if all of them fit into the last incoming capacity.
+    capacity_checks.clear()
+    incoming[-1:] = [IncomingCapacity(SMALL_EAST, 300.0, 0.0, 1000.0)]
+    assert (
+        plan_scale_out(demands, incoming, MACHINE_TYPES, SMALL_SPOT_KINDS, EXPENSIVE_KINDS) == []
+        and len(capacity_checks) < 300 + 2 * 300
+    )
+    incoming[-1] = IncomingCapacity(SMALL_EAST, 0.5, 0.0, 1.0)
+    # Costs are not estimated for each of them if no available kind is large enough.
+    too_large_demands = [make_demand(1, cpus=64.0, memoryGb=1.0 + number * 0.001) for number in range(300)]
+    assert (
+        plan_scale_out(too_large_demands, [], MACHINE_TYPES, set(), EXPENSIVE_KINDS) == [] and len(cost_estimates) == 6
+    )
+    demands_of_both_risks = [
+        make_demand(1, builds=["small"], memoryGb=1.0),
+        make_demand(1, False, builds=["small"], memoryGb=1.0),
+    ]
+    assert len(plan_scale_out(demands_of_both_risks, [], MACHINE_TYPES, SMALL_SPOT_KINDS, EXPENSIVE_KINDS)) == 1, (
+        "results for demands at risk and without risk are cached separately"
+    )
+    # Smaller tasks still fit into the remaining capacity.
+    small_demand = make_demand(300, False, cpus=0.5, memoryGb=1.0)
+    assert (
+        plan_scale_out([*demands, small_demand], incoming, MACHINE_TYPES, SMALL_SPOT_KINDS, EXPENSIVE_KINDS) == []
+        and incoming[-1].cpus == 0.0
+    )
+
+
+EXPENSIVE_CASES = [
+    # name, changes of the job, whether it requires an expensive kind
+    ("spot allowed", {}, False),
+    ("on-demand only", {"stubble": False}, True),
+    ("on-demand only, type given", {"stubble": False, "builds": ["large"]}, True),
+    ("fits only the large type, cheap as spot", {"cpus": 16.0}, False),
 ]
 
 
-@pytest.mark.parametrize(("changes", "pays"), [p[1:] for p in PAY], ids=[p[0] for p in PAY])
-def test_dear_kinds_are_no_luxury_for_what_may_use_no_other(changes, pays):
-    assert requires_expensive_kind(need(1, **changes).spec, KINDS.values(), DEAR) is pays
+@pytest.mark.parametrize(
+    ("changes", "is_required"), [case[1:] for case in EXPENSIVE_CASES], ids=[case[0] for case in EXPENSIVE_CASES]
+)
+def test_job_requires_expensive_kind_if_no_other_kind_may_run_it(changes, is_required):
+    assert (
+        requires_expensive_kind(make_demand(1, **changes).spec, MACHINE_TYPES.values(), EXPENSIVE_KINDS) is is_required
+    )
 
 
-BOUND = [
-    # name, changes of the job, tasks placed by zone, coming (zone, CPUs), tasks to place, by zone
+ZONE_CASES = [
+    # name, changes of the job, tasks placed by zone, incoming capacity (zone, CPUs), tasks to place, tasks by zone
     (
-        "a spread service, nothing there",
+        "spread service, no siblings",
         {"breed": "daemon", "scatter": True, "heads": 4},
         {},
         [],
@@ -117,35 +158,42 @@
         {"east": 2, "west": 2},
     ),
     (
-        "a spread service, two in one zone already",
+        "spread service, two siblings in one zone",
         {"scatter": True, "heads": 4},
         {"east": 2},
         [("east", 8.0)],
         2,
         {"west": 2},
     ),
-    ("room that is coming goes first", {"scatter": True, "heads": 4}, {}, [("west", 1.0)], 1, {"west": 1}),
-    ("one zone: that of its siblings", {"oneZone": True, "heads": 4}, {"west": 1}, [("east", 8.0)], 3, {"west": 3}),
+    ("spread, zone with incoming capacity first", {"scatter": True, "heads": 4}, {}, [("west", 1.0)], 1, {"west": 1}),
+    ("one zone: zone of the siblings", {"oneZone": True, "heads": 4}, {"west": 1}, [("east", 8.0)], 3, {"west": 3}),
     (
-        "one zone: where most room is coming",
+        "one zone: most incoming capacity",
         {"oneZone": True, "heads": 4},
         {},
         [("east", 2.0), ("west", 3.0)],
         4,
         {"west": 4},
     ),
-    ("bound by the user", {"oneZone": True, "field": "east", "heads": 4}, {}, [], 4, {"east": 4}),
-    ("not bound", {"heads": 4}, {}, [], 4, {None: 4}),
+    ("zone given by the user", {"oneZone": True, "field": "east", "heads": 4}, {}, [], 4, {"east": 4}),
+    ("no zone constraints", {"heads": 4}, {}, [], 4, {None: 4}),
 ]
 
 
 @pytest.mark.parametrize(
-    ("changes", "placed", "coming", "count", "shares"), [b[1:] for b in BOUND], ids=[b[0] for b in BOUND]
+    ("changes", "placed_by_zone", "incoming", "count", "counts_by_zone"),
+    [case[1:] for case in ZONE_CASES],
+    ids=[case[0] for case in ZONE_CASES],
 )
-def test_what_zones_bind_is_sized_by_zone(changes, placed, coming, count, shares):
-    """Once room in a zone that could not be used kept a service from a second zone for ever."""
+def test_demand_with_zone_constraints_is_split_by_zone(changes, placed_by_zone, incoming, count, counts_by_zone):
+    """Guards against a service that waits forever for its second zone.
+
+    Incoming capacity in a zone that the service could not use was counted for it.
+    """
     spec = msgspec.convert(job(**changes), JobSpec)
-    room = [IncomingCapacity(MachineKind("small", zone, True), cpus, 0.0, 64.0) for zone, cpus in coming]
-    kinds = [MachineKind("small", "east", True), MachineKind("small", "west", True)]
-    parts = split_by_zone(CapacityDemand(spec, count, 30.0, placed_by_zone=placed), room, kinds)
-    assert {part.spec.zone: part.task_count for part in parts} == shares
+    incoming_capacity = [IncomingCapacity(MachineKind("small", zone, True), cpus, 0.0, 64.0) for zone, cpus in incoming]
+    available_kinds = [MachineKind("small", "east", True), MachineKind("small", "west", True)]
+    zone_demands = split_by_zone(
+        CapacityDemand(spec, count, 30.0, placed_by_zone=placed_by_zone), incoming_capacity, available_kinds
+    )
+    assert {zone_demand.spec.zone: zone_demand.task_count for zone_demand in zone_demands} == counts_by_zone
--- a/tests/benchmarks/test_benchmarks.py
+++ b/tests/benchmarks/test_benchmarks.py
@@ -33,7 +33,7 @@
 ACCEPTED = "I n0 jobs: job wk-{0} accepted: train of a, {1}, {2} tasks of 1 CPUs and 2 GB, about 30 s, due after {3} s"
 LOG = [
     "0.5 n0 " + ACCEPTED.format("000001", "normal", 8, 60),
-    "1.0 n0 D n0 fleet: machine i-1 rented: small in east, spot",
+    "1.0 n0 D n0 fleet: created machine=i-1 type=small zone=east market=spot",
     "1.0 n0 D n0 fleet: machine i-2 rented: small in east, spot",
     "11.0 n0 I n0 leadership: machine i-1 (small) reports first",
     "a line of something else",
@@ -45,8 +45,8 @@
     "73.1 n0 D n0 leadership: task wk-000001/7 runs on i-1 after 0.30 s",
     "103.1 n0 D n0 leadership: task wk-000001/7 done on i-1 after 30.00 s",
     "103.2 n0 I n0 jobs: job wk-000001 ended: done, 103 s after its submission, due after 60 s",
-    "111.0 n0 I n0 fleet: machine i-1 condemned with 0 tasks: idle for 7 s",
-    "111.0 n0 I n0 fleet: deleted i-1, i-2",
+    "111.0 n0 I n0 fleet: decommissioning machine=i-1 tasks=0 reason=idle for 7 s",
+    "111.0 n0 I n0 fleet: deleted machines=i-1, i-2",
 ]
 
 
--- a/tests/leadership/test_incremental_snapshot.py
+++ b/tests/leadership/test_incremental_snapshot.py
@@ -179,7 +179,7 @@
             ]
             told = list(self.ends.completions_before(machine, before, self.now))
             assert all(spec in running for spec in told)
-            if self.now - self.ends._cache[machine.id].made_at < FORECAST_MAX_AGE_S:
+            if self.now - self.ends._cache[machine.id].computed_at < FORECAST_MAX_AGE_S:
                 assert sum(s.cpus for s in told) <= machine.usage.cpus + EPSILON
 
 
