--- a/meadowcross/autoscaling/cloud.py
+++ b/meadowcross/autoscaling/cloud.py
@@ -35,7 +35,7 @@
 
 REQUEST_TIMEOUT_S: Seconds = 6.0
 LEADER_RATE_SHARE = 0.8
-"""Share of the rate allowed by the cloud that one client uses."""
+"""Share of the allowed rate that one client uses, so that the leader leaves some of it to other controllers."""
 HTTP_OK = 200
 HTTP_TOO_MANY_REQUESTS = 429
 HTTP_SERVICE_UNAVAILABLE = 503
--- a/meadowcross/autoscaling/messages.py
+++ b/meadowcross/autoscaling/messages.py
@@ -70,7 +70,7 @@
 
 
 class MachineRecord(Struct):
-    """A stored machine, so that a new leader knows it at once."""
+    """The stored record of a machine, from which a new leader loads it."""
 
     type: str = field(name="b")
     zone: str = field(name="f")
--- a/meadowcross/placement/engine.py
+++ b/meadowcross/placement/engine.py
@@ -98,11 +98,11 @@
     spec = pending_job.spec
     machines: list[MachineId] = []
 
-    def heap_entry(candidate: Candidate) -> tuple[int, float, MachineId, Candidate]:
+    def make_heap_entry(candidate: Candidate) -> tuple[int, float, MachineId, Candidate]:
         return fetch_tier(pending_job, candidate), -score(spec, candidate, {}, weights), candidate.machine, candidate
 
     heap = [
-        heap_entry(candidate)
+        make_heap_entry(candidate)
         for candidate in fitting_candidates
         if not pending_job.requires_cached_image or spec.image in candidate.cached_images
     ]
@@ -114,7 +114,7 @@
             candidate.fetching_images.add(spec.image)
         machines.append(machine)
         if candidate.fits(spec):
-            heapq.heapreplace(heap, heap_entry(candidate))
+            heapq.heapreplace(heap, make_heap_entry(candidate))
         else:
             heapq.heappop(heap)
     return machines
--- a/meadowcross/placement/model.py
+++ b/meadowcross/placement/model.py
@@ -68,7 +68,7 @@
     is_borrowing: bool = False
     """Whether the job's team has used up its guarantee."""
     guaranteed_tasks: int = 0
-    """How many of the job's tasks are still within its team's guarantee."""
+    """How many of the job's tasks still fit into its team's guarantee."""
     requires_cached_image: bool = False
     """Whether the job can still start in time, but only on a machine that has its image cached."""
     start_slack_s: Seconds = inf
@@ -149,7 +149,7 @@
 
 
 def is_kind_allowed(spec: JobSpec, kind: MachineKind) -> bool:
-    """Return whether the job may run on machines of this type and zone, and on spot machines if they are."""
+    """Return whether the job may run on machines of this kind: its type, its zone, and spot or on demand."""
     return (
         (spec.spot or not kind.spot)
         and (spec.types is None or kind.type in spec.types)
@@ -175,8 +175,8 @@
 def queue_order(pending_job: PendingJob) -> tuple[bool, int, bool, bool, Seconds, JobId]:
     """Return the key by which the queue is sorted.
 
-    Starved jobs come first. All other jobs are sorted strictly by priority, then jobs within their team's guarantee
-    come before borrowing ones, then retries before first attempts, then the least slack.
+    Starved jobs come first. Then jobs are sorted strictly by priority; within a priority, jobs within their team's
+    guarantee come before borrowing ones, then retries before first attempts, then the least slack.
     """
     return (
         not pending_job.is_starved,
--- a/tests/autoscaling/test_silent_machines.py
+++ b/tests/autoscaling/test_silent_machines.py
@@ -22,9 +22,9 @@
     ("zones", "expected"), [case[1:] for case in TIMEOUT_CASES], ids=[case[0] for case in TIMEOUT_CASES]
 )
 def test_silence_timeout_by_zone(zones, expected):
-    known = {zone: count for zone, (_, count) in zones.items()}
-    silent = {zone: silent_count for zone, (silent_count, _) in zones.items()}
-    assert silence_timeout_by_zone(known, silent, 8.0, 45.0) == expected
+    known_by_zone = {zone: count for zone, (_, count) in zones.items()}
+    silent_by_zone = {zone: silent_count for zone, (silent_count, _) in zones.items()}
+    assert silence_timeout_by_zone(known_by_zone, silent_by_zone, 8.0, 45.0) == expected
 
 
 def test_deletion_of_a_failed_machine_makes_its_kind_available_again(world):
@@ -42,9 +42,9 @@
     term.autoscaler.kind_availability.mark_unavailable(kind, 1000.0)
     world.net.hosts.pop(world.workers.pop(failed_machine).machine["addr"])
     world.cloud.on_delete = lambda name: None
-    known = set(world.cloud.machines)
+    ids_before = set(world.cloud.machines)
     world.pass_time(8.0)
-    assert not [machine for machine_id, machine in world.cloud.machines.items() if machine_id not in known], (
+    assert not [machine for machine_id, machine in world.cloud.machines.items() if machine_id not in ids_before], (
         "requested while it was unavailable"
     )
     world.pass_time(5.0)
@@ -52,7 +52,7 @@
     assert any(
         (machine["build"], machine["field"], machine["stubble"]) == kind
         for machine_id, machine in world.cloud.machines.items()
-        if machine_id not in known
+        if machine_id not in ids_before
     )
 
 
--- a/tests/placement/test_engine.py
+++ b/tests/placement/test_engine.py
@@ -20,14 +20,14 @@
 WEIGHTS = OperatorSettings()
 
 
-def make_candidate(name, cpus=4.0, memory=16.0, zone="east", spot=True, kind="small", images=(), gpus=0.0):
-    return Candidate(MachineId(name), MachineKind(kind, zone, spot), cpus, gpus, memory, set(images))
+def make_candidate(name, cpus=4.0, memory_gb=16.0, zone="east", spot=True, kind="small", images=(), gpus=0.0):
+    return Candidate(MachineId(name), MachineKind(kind, zone, spot), cpus, gpus, memory_gb, set(images))
 
 
-def make_pending_job(count=None, rank=1, slack=0.0, siblings=None, **changes):
+def make_pending_job(count=None, rank=1, slack_s=0.0, siblings=None, **changes):
     spec = msgspec.convert(job(**changes), JobSpec)
     count = spec.tasks if count is None else count
-    return PendingJob(JobId(spec.id), spec, count, rank, slack, siblings=siblings or {})
+    return PendingJob(JobId(spec.id), spec, count, rank, slack_s, siblings=siblings or {})
 
 
 def make_headroom(**limits):
@@ -50,7 +50,7 @@
     ("on-demand machine, job excludes spot", make_candidate("m", spot=False), {"stubble": False}, 2),
     ("wrong zone", make_candidate("m"), {"field": "west"}, 0),
     ("wrong type", make_candidate("m"), {"builds": ["large"]}, 0),
-    ("memory for one task only", make_candidate("m", memory=3.0), {}, 1),
+    ("memory for one task only", make_candidate("m", memory_gb=3.0), {}, 1),
     ("machine without gpu", make_candidate("m"), {"gpus": 1.0}, 0),
 ]
 
@@ -65,7 +65,7 @@
 
 def test_tasks_go_to_cached_image_first_then_to_highest_score():
     candidates = [
-        make_candidate("big", cpus=16.0, memory=64.0),
+        make_candidate("big", cpus=16.0, memory_gb=64.0),
         make_candidate("cold"),
         make_candidate("warm", images=["img"]),
     ]
@@ -75,9 +75,9 @@
 
 def test_queue_is_sorted_by_priority_then_slack():
     pending_jobs = [
-        make_pending_job(id="wk-000001", heads=1, rank=2, slack=-50.0),
-        make_pending_job(id="wk-000002", heads=1, rank=1, slack=40.0),
-        make_pending_job(id="wk-000003", heads=1, rank=1, slack=10.0),
+        make_pending_job(id="wk-000001", heads=1, rank=2, slack_s=-50.0),
+        make_pending_job(id="wk-000002", heads=1, rank=1, slack_s=40.0),
+        make_pending_job(id="wk-000003", heads=1, rank=1, slack_s=10.0),
     ]
     decisions = place([make_candidate("m", cpus=2.0)], pending_jobs, make_headroom(), WEIGHTS)
     assert [decision.job_id for decision in decisions] == ["wk-000003", "wk-000002"]
@@ -85,7 +85,7 @@
 
 def test_team_quota_limits_placed_tasks():
     decisions = place(
-        [make_candidate("m", cpus=16.0, memory=64.0)],
+        [make_candidate("m", cpus=16.0, memory_gb=64.0)],
         [make_pending_job(steward="a", heads=9)],
         make_headroom(a=3.5),
         WEIGHTS,
@@ -169,7 +169,7 @@
 
 def test_siblings_count_for_zone_constraints_until_proven_gone():
     unproven_siblings = {MachineId("gone?"): ("west", 1)}
-    candidates = [make_candidate("e", cpus=16.0, memory=64.0)]
+    candidates = [make_candidate("e", cpus=16.0, memory_gb=64.0)]
     assert (
         place(
             candidates,
@@ -209,8 +209,8 @@
     service = make_pending_job(breed="daemon", heads=2, memoryGb=1.0)
     replicas = [ServiceReplica(i, service, MachineId("full"), age_s) for i in range(2)]
     candidates = [
-        make_candidate("full", cpus=0.4, memory=1.0),
-        make_candidate("other", cpus=free_capacity, memory=free_capacity),
+        make_candidate("full", cpus=0.4, memory_gb=1.0),
+        make_candidate("other", cpus=free_capacity, memory_gb=free_capacity),
     ]
     assert len(select_replicas_to_move(candidates, replicas, {MachineId("full"): cpu_share}, WEIGHTS)) == moved_count
     assert candidates[0].free_cpus == pytest.approx(0.4)
@@ -219,8 +219,8 @@
 def test_victims_have_lower_priority_then_cached_image_then_least_loss():
     candidates = [make_candidate("warm", cpus=0.0, images=["img"]), make_candidate("cold", cpus=0.0)]
 
-    def make_victim(key, machine, rank, loss):
-        return Victim(key, MachineId(machine), rank, 1.0, 0.0, 2.0, loss)
+    def make_victim(key, machine, rank, lost_cpu_s):
+        return Victim(key, MachineId(machine), rank, 1.0, 0.0, 2.0, lost_cpu_s)
 
     victims = [
         make_victim("same", "warm", 1, 0.0),
--- a/tests/placement/test_preemption.py
+++ b/tests/placement/test_preemption.py
@@ -14,31 +14,31 @@
 from tests.placement.test_engine import make_candidate, make_headroom, make_pending_job
 
 
-def make_victim(key="v", machine="m", rank=3, cpus=1.0, team="b", borrowed=False, loss=1.0, save_s=None):
-    return Victim(key, MachineId(machine), rank, cpus, 0.0, 2.0, loss, team, borrowed, save_s)
+def make_victim(key="v", machine="m", rank=3, cpus=1.0, team="b", is_borrowed=False, lost_cpu_s=1.0, save_s=None):
+    return Victim(key, MachineId(machine), rank, cpus, 0.0, 2.0, lost_cpu_s, team, is_borrowed, save_s)
 
 
 class Snapshot:
     """A `PreemptionSnapshot` with the same machines and victims for every job."""
 
-    def __init__(self, machines, running, may_preempt=True):
-        self._machines, self._running, self._may_preempt = machines, running, may_preempt
+    def __init__(self, candidates, victims, may_preempt=True):
+        self._candidates, self._victims, self._may_preempt = candidates, victims, may_preempt
 
     def all_candidates(self):
-        return self._machines
+        return self._candidates
 
     def candidates_of(self, victims):
-        return self._machines
+        return self._candidates
 
     def victims(self, rank, guaranteed):
-        return self._running
+        return self._victims
 
     def may_preempt(self, pending_job):
         return self._may_preempt
 
 
-def plan(planner, pending_job, snapshot, placed_counts=None, is_still_placed=lambda key: True, at=1.0):
-    return planner.plan([pending_job], placed_counts or {}, make_headroom(), snapshot, is_still_placed, Instant(at))
+def plan(planner, pending_job, snapshot, placed_counts=None, is_still_placed=lambda key: True, now=1.0):
+    return planner.plan([pending_job], placed_counts or {}, make_headroom(), snapshot, is_still_placed, Instant(now))
 
 
 URGENCY_CASES = [
@@ -52,13 +52,13 @@
 
 
 @pytest.mark.parametrize(
-    ("slack", "changes", "start_slack_s", "expected"),
+    ("slack_s", "changes", "start_slack_s", "expected"),
     [case[1:] for case in URGENCY_CASES],
     ids=[case[0] for case in URGENCY_CASES],
 )
-def test_job_is_urgent(slack, changes, start_slack_s, expected):
+def test_job_is_urgent(slack_s, changes, start_slack_s, expected):
     victims = [make_victim()]
-    pending_job = make_pending_job(slack=slack, **changes)
+    pending_job = make_pending_job(slack_s=slack_s, **changes)
     pending_job.expected_run_s, pending_job.start_slack_s = 30.0, start_slack_s
     assert is_urgent(pending_job, victims) is expected
 
@@ -72,17 +72,17 @@
 
 
 @pytest.mark.parametrize(
-    ("running_count", "slack", "stopped", "reserved"),
+    ("running_count", "slack_s", "stopped", "reserved"),
     [case[1:] for case in RESERVATION_CASES],
     ids=[case[0] for case in RESERVATION_CASES],
 )
-def test_larger_task_waits_on_reserved_machine_for_smaller_tasks_to_end(running_count, slack, stopped, reserved):
+def test_larger_task_waits_on_reserved_machine_for_smaller_tasks_to_end(running_count, slack_s, stopped, reserved):
     """Guards against stopping many small tasks for a larger one that could wait for them to end.
 
     A burst of large tasks lost a seventh of all work done at lower priority.
     """
     planner = PreemptionPlanner(OperatorSettings())
-    pending_job = make_pending_job(heads=1, rank=1, slack=slack, cpus=2.0)
+    pending_job = make_pending_job(heads=1, rank=1, slack_s=slack_s, cpus=2.0)
     pending_job.expected_run_s = 20.0
     victims = [make_victim(i, "big") for i in range(running_count)]
     candidates = [make_candidate("big", cpus=0.0)]
@@ -97,7 +97,11 @@
 
 
 def test_borrowed_tasks_have_lowest_priority_then_least_loss():
-    victims = [make_victim("dear", loss=9.0), make_victim("cheap", loss=1.0), make_victim("high", rank=1, loss=0.0)]
+    victims = [
+        make_victim("dear", lost_cpu_s=9.0),
+        make_victim("cheap", lost_cpu_s=1.0),
+        make_victim("high", rank=1, lost_cpu_s=0.0),
+    ]
     mark_borrowed(victims, {"b": 1.5})
     assert [victim.task_key for victim in victims if victim.is_borrowed] == ["cheap"]
 
@@ -108,9 +112,9 @@
     pending_job.start_slack_s = 0.5
     placed_keys = {"a"}
 
-    def choose(at, key):
+    def choose(now, key):
         snapshot = Snapshot(candidates, [make_victim(key)])
-        preemptions = plan(planner, pending_job, snapshot, is_still_placed=placed_keys.__contains__, at=at)
+        preemptions = plan(planner, pending_job, snapshot, is_still_placed=placed_keys.__contains__, now=now)
         return [victim.task_key for _, victims in preemptions for victim in victims]
 
     assert choose(10.0, "a") == ["a"]
@@ -140,7 +144,7 @@
         "other jobs do not wait for a machine with the image"
     )
     planner = PreemptionPlanner(OperatorSettings())
-    victims = [make_victim("w", "warm", loss=9.0), make_victim("c", "cold-too", loss=0.0)]
+    victims = [make_victim("w", "warm", lost_cpu_s=9.0), make_victim("c", "cold-too", lost_cpu_s=0.0)]
     preemptions = plan(planner, prompt_job, Snapshot(candidates, victims), placed_counts={prompt_job.job_id: 1})
     assert [victim.task_key for _, selected in preemptions for victim in selected] == ["w"]
 
@@ -151,25 +155,25 @@
     ("short slack: stopped without grace", {"save_s": 3.0}, 10.0, 1, [0.0]),
     ("not checkpointable: not stopped", {}, 100.0, 1, []),
     ("job beyond its guarantee", {"save_s": 3.0}, 100.0, 0, []),
-    ("victim within its guarantee", {"save_s": 3.0, "borrowed": False}, 100.0, 1, []),
+    ("victim within its guarantee", {"save_s": 3.0, "is_borrowed": False}, 100.0, 1, []),
     ("victim of higher priority", {"save_s": 3.0, "rank": 2}, 100.0, 1, []),
 ]
 
 
 @pytest.mark.parametrize(
-    ("changes", "slack", "guaranteed", "graces"),
+    ("changes", "slack_s", "guaranteed_tasks", "graces"),
     [case[1:] for case in CHECKPOINT_CASES],
     ids=[case[0] for case in CHECKPOINT_CASES],
 )
 def test_borrowed_checkpointable_task_is_preempted_for_guarantee_before_slack_is_short(
-    changes, slack, guaranteed, graces
+    changes, slack_s, guaranteed_tasks, graces
 ):
     planner = PreemptionPlanner(OperatorSettings())
-    pending_job = make_pending_job(heads=1, rank=3, slack=slack)
-    pending_job.expected_run_s, pending_job.guaranteed_tasks = 30.0, guaranteed
-    running = make_victim(**{"team": "guest", "borrowed": True, **changes})
+    pending_job = make_pending_job(heads=1, rank=3, slack_s=slack_s)
+    pending_job.expected_run_s, pending_job.guaranteed_tasks = 30.0, guaranteed_tasks
+    running_task = make_victim(**{"team": "guest", "is_borrowed": True, **changes})
     candidates = [make_candidate("m", cpus=0.0)]
-    preemptions = plan(planner, pending_job, Snapshot(candidates, [running]))
+    preemptions = plan(planner, pending_job, Snapshot(candidates, [running_task]))
     assert [victim.grace_s for _, selected in preemptions for victim in selected] == graces
 
 
@@ -223,10 +227,10 @@
         heads=2, count=1, rank=0, breed="daemon", scatter=True, siblings={MachineId("w"): ("west", 1)}
     )
     pending_job.requires_cached_image, pending_job.image_fetch_s, pending_job.start_slack_s = True, 30.0, -30.0
-    candidates = [make_candidate("cold"), make_candidate("warm", cpus=0.0, memory=0.0, images=["img"])]
+    candidates = [make_candidate("cold"), make_candidate("warm", cpus=0.0, memory_gb=0.0, images=["img"])]
     assert place(candidates, [pending_job], make_headroom(), OperatorSettings()) == []
     planner = PreemptionPlanner(OperatorSettings())
-    victims = [make_victim("cheap", "cold", loss=0.0), make_victim("there", "warm", loss=9.0)]
+    victims = [make_victim("cheap", "cold", lost_cpu_s=0.0), make_victim("there", "warm", lost_cpu_s=9.0)]
     preemptions = plan(planner, pending_job, Snapshot(candidates, victims))
     assert [v.task_key for _, selected in preemptions for v in selected] == ["there"] and set(planner.reservations) == {
         "warm"
