--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -18,8 +18,8 @@
 
 from benchmarks.day import LINE, read
 
-LEADS = re.compile(r"leads with token (\d+)")
-OVER = re.compile(r"no longer leads with token (\d+)")
+LEADS = re.compile(r"(?:started leading token=|leads with token )(\d+)")
+OVER = re.compile(r"(?:stopped leading token=|no longer leads with token )(\d+)")
 PICTURE = re.compile(r"term (\d+): (\d+) open jobs, (\d+) machines, (\d+) placements")
 MILESTONE = re.compile(r"term (\d+): (first placement stored|first start sent|nine of ten machines answered)")
 BEFORE_S = 10.0
--- a/meadowcross/leadership/__init__.py
+++ b/meadowcross/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Who may give commands: election, token, peer link, the leader's term."""
+"""Leader election, fencing tokens, messages between controllers, and the term of a leader."""
--- a/meadowcross/leadership/failure_detector.py
+++ b/meadowcross/leadership/failure_detector.py
@@ -1,10 +1,12 @@
-"""Whether a leader that peers lost has failed, by evidence, and who campaigns first after it.
-
-A lease alone tells only when it expires. Sooner than that it is revoked where all of this holds: the connection to the
-leader was closed and its address refuses connections; every other peer that we hear says the same; and either the
-store, which answers us, has taken nothing from it for much longer than between two of its writes, or the workers that
-reported to it come here. So a leader that store and workers still hear keeps its place, whatever becomes of the
-connections between nodes. The key alone decides who leads, and the token protects what is done.
+"""Detects by evidence that a leader has failed, revokes its lease, and ranks the candidates for the next election.
+
+Without the detector a failure shows only when the leader lease expires. The detector revokes the lease earlier if all
+of these conditions hold: the connection to the leader was closed and its address refuses connections; every other peer
+with fresh heartbeats reports the same; and either the store responds to this node and has received no writes of the
+leader for much longer than the usual time between two writes, or workers of the leader have sent their heartbeats to
+this node instead. So a leader that still reaches the store and its workers stays leader, even if all connections
+between controllers fail. A false alarm is safe: only the leader key decides who leads, and the fencing token rejects
+the commands and writes of a deposed leader.
 """
 
 from __future__ import annotations
@@ -30,60 +32,68 @@
 log = get_logger("leadership")
 
 POLL_INTERVAL_S: Seconds = 0.05
-ELECTION_STAGGER_S: Seconds = 0.15
-"""The second candidate waits so long for the first, and so on."""
+DELAY_PER_RANK_S: Seconds = 0.15
+"""Election delay per rank: each candidate campaigns this much later than the candidate ranked before it."""
 MIN_MISSED_WRITES = 5.0
-"""As many of the leader's writes as should have come: by chance that happens once in 150 times."""
+"""Number of expected writes of the leader that must be missing; a working leader misses this many by chance once in
+150 cases."""
 MIN_QUIET_S: Seconds = 0.25
-IN_FLIGHT_S: Seconds = 0.03
-"""What a leader that failed sent before may still be on its way to the store."""
+"""Shortest time without writes that counts as evidence, however many writes are missing."""
+IN_FLIGHT_WRITES_S: Seconds = 0.03
+"""Writes that a leader sent before its failure may reach the store for this long afterwards."""
 MIN_WORKERS_ARRIVED = 3
 MIN_SHARE_ARRIVED = 0.02
+"""Share of all machines whose workers must have started to report to this node, at least `MIN_WORKERS_ARRIVED`."""
 FALSE_ALARM_BACKOFF_S: Seconds = 60.0
-"""After a false alarm no lease is revoked for so long, twice as long after the next, and so on."""
+"""After a false alarm no lease is revoked for this long; the time doubles with each further false alarm."""
 
 
 class Evidence(NamedTuple):
-    """What speaks for a leader's failure, at one moment."""
+    """Observations about a possible failure of the leader, at one instant."""
 
     is_refused: bool
-    """Our connection to it was closed, and its address refuses connections."""
+    """The connection of this node to the leader was closed, and the leader's address refuses connections."""
     peer_count: int
-    """Other peers that we hear."""
+    """Number of other peers with fresh heartbeats."""
     agreeing_peers: int
-    """Those of them that say the same."""
+    """Number of other peers that report the leader as lost."""
     writes_per_s: float
-    """Its transactions a second before."""
+    """Transactions per second of the leader before its connection was lost."""
     quiet_s: Seconds
-    """For how long since the connection was lost the store, answering us, has taken nothing from a leader."""
+    """How long, since the connection was lost, the store is known to have received no writes of a leader."""
     workers_arrived: int
-    """Workers that came here since the connection was lost."""
+    """Number of workers that started to send heartbeats to this node since the connection was lost."""
     machine_count: int
+    """Number of machines in the replica of this node."""
 
 
 def failure_reason(evidence: Evidence) -> str | None:
-    """What proves enough that the leader has failed, or None."""
+    """Return why the evidence suffices to treat the leader as failed, or None if it does not."""
     if not evidence.is_refused or evidence.peer_count == 0 or evidence.agreeing_peers < evidence.peer_count:
         return None
     missed_writes = evidence.writes_per_s * evidence.quiet_s
     if evidence.quiet_s >= MIN_QUIET_S and missed_writes >= MIN_MISSED_WRITES:
-        return f"it stored nothing for {evidence.quiet_s:.2f} s, at {evidence.writes_per_s:.0f} writes a second before"
+        return f"no writes for {evidence.quiet_s:.2f} s after {evidence.writes_per_s:.0f} writes per second"
     if evidence.workers_arrived >= max(MIN_WORKERS_ARRIVED, MIN_SHARE_ARRIVED * evidence.machine_count):
-        return f"{evidence.workers_arrived} of its workers came by"
+        return f"{evidence.workers_arrived} workers of the leader report to this node"
     return None
 
 
 def candidate_rank(own_heartbeat: PeerHeartbeat, peer_heartbeats: list[PeerHeartbeat]) -> int:
-    """This node's place among the candidates, from 0: who is in sync and heard by workers first, then by name."""
+    """Return the rank of this node among the candidates, from 0.
+
+    Candidates that reach the store, are in sync and receive heartbeats from many workers come first; the node name
+    breaks ties.
+    """
     candidates = (own_heartbeat, *peer_heartbeats)
     most_workers_heard = max((heartbeat.workers_heard for heartbeat in candidates), default=0)
 
     def sort_key(heartbeat: PeerHeartbeat) -> tuple[bool, int, bool, bool, NodeName]:
-        # After a loss who followed furthest has most to write back.
-        followed = heartbeat.followed_revision if own_heartbeat.is_epoch_lost else 0
+        # After a data loss, the candidate with the newest followed revision has the most to write back.
+        followed_revision = heartbeat.followed_revision if own_heartbeat.is_epoch_lost else 0
         return (
             not heartbeat.is_store_answering,
-            -followed,
+            -followed_revision,
             not heartbeat.is_in_sync,
             2 * heartbeat.workers_heard < most_workers_heard,
             heartbeat.node,
@@ -93,23 +103,23 @@
 
 
 class ClusterView(Protocol):
-    """What this node hears of its peers and of workers, and says of itself."""
+    """The heartbeats of peers, the workers that report to this node, and its own heartbeat."""
 
     def own_heartbeat(self) -> PeerHeartbeat:
-        """What peers are told of this node now."""
+        """Return the heartbeat that this node would send to its peers now."""
 
     def peer_heartbeats(self) -> list[PeerHeartbeat]:
-        """Of all peers that were heard lately and are not lost since."""
+        """Return the last heartbeats of all peers that sent one recently and are not lost since."""
 
     def is_lost(self, peer: NodeName) -> bool:
-        """Whether the connection to the peer was closed, and its address refuses."""
+        """Return whether the connection to the peer was closed and its address refuses connections."""
 
     def workers_arrived_since(self, instant: Instant) -> int:
-        """How many workers came here since then that no relaying explains."""
+        """Return how many workers started to report to this node since `instant`, except workers that it relays."""
 
 
 class LeaderFailureDetector:
-    """Looks for the evidence while a lost leader's lease runs, and revokes it."""
+    """Collects evidence after the connection to the leader was lost, until its lease expires, and revokes the lease."""
 
     def __init__(
         self,
@@ -127,7 +137,7 @@
         self._cluster = cluster
         self._lease_ttl_s = lease_ttl_s
         self._revoked_incarnation: str | None = None
-        """Of the leader whose lease we revoked last."""
+        """Incarnation of the leader whose lease this node revoked last, until a heartbeat of it arrives."""
         self._backoff_until = Instant(0.0)
         self.is_investigating = False
         self.false_alarm_count = 0
@@ -135,15 +145,15 @@
 
     @property
     def now(self) -> Instant:
-        """On this process's clock."""
+        """The present instant of the clock of this process."""
         return Instant(self._clock.seconds())
 
     def election_delay(self) -> Seconds:
-        """How long better candidates may campaign before us."""
-        return ELECTION_STAGGER_S * candidate_rank(self._cluster.own_heartbeat(), self._cluster.peer_heartbeats())
+        """Return how long this node waits before it campaigns, by its rank among the candidates."""
+        return DELAY_PER_RANK_S * candidate_rank(self._cluster.own_heartbeat(), self._cluster.peer_heartbeats())
 
     def on_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
-        """A heartbeat shows that a node lives, also the one whose lease we revoked."""
+        """Count a false alarm if the heartbeat comes from the leader whose lease this node revoked last."""
         if not heartbeat.incarnation or heartbeat.incarnation != self._revoked_incarnation:
             return
         self._revoked_incarnation = None
@@ -151,14 +161,17 @@
         self._backoff_until = Instant(self.now + backoff_s)
         self.false_alarm_count += 1
         log.info(
-            "false alarm %d: %s was alive when its lease was revoked; no other is revoked for %.0f s",
+            "false alarm, revoked the lease of a live leader count=%d node=%s backoff_s=%.0f",
             self.false_alarm_count,
             heartbeat.node,
             backoff_s,
         )
 
     def on_peer_lost(self, peer: NodeName) -> None:
-        """The connection to a peer was closed, and its address refuses."""
+        """Start to collect evidence if the lost peer is the leader.
+
+        Do nothing while this node leads, is not in sync, is already investigating or backs off after a false alarm.
+        """
         leader = self._election.leader
         if self.is_investigating or leader is None or leader[0] != peer or self._election.token is not None:
             return
@@ -169,7 +182,7 @@
 
     async def _investigate(self, leader: NodeName, token: FencingToken) -> None:
         lost_at, writes_per_s = self.now, self._follower.leader_writes_per_s()
-        log.info("leader %s with token %d is lost to us: %.1f writes a second before", leader, token, writes_per_s)
+        log.info("connection to leader lost node=%s token=%d writes_per_s=%.1f", leader, token, writes_per_s)
         try:
             self._election.prepare_lease()
             reason = await self._await_evidence(leader, token, lost_at, writes_per_s)
@@ -178,16 +191,19 @@
                 if self._is_still_lost(leader, token):
                     await self._revoke_lease(leader, token, reason)
         except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
-            # Without the store's answer nothing is proven; the lease decides, as it does without this detector.
-            log.info("no evidence against %s: %s", leader, error)
+            # Without responses of the store there is no proof. The leader lease expires as it would without the
+            # detector.
+            log.info("leader failure check aborted node=%s error=%s", leader, error)
         finally:
             self.is_investigating = False
 
     async def _await_evidence(
         self, leader: NodeName, token: FencingToken, lost_at: Instant, writes_per_s: float
     ) -> str | None:
-        """What proves that the leader has failed; None once its lease has run out, or it is back. Raises what the store
-        client raises."""
+        """Return why the leader counts as failed, or None once its lease time has passed or it is no longer lost.
+
+        Raise the errors of the store client.
+        """
         while self.now - lost_at < self._lease_ttl_s and self._is_still_lost(leader, token):
             await self._follower.poll_now(POLL_INTERVAL_S)
             reason = failure_reason(self.evidence_against(leader, lost_at, writes_per_s))
@@ -200,14 +216,14 @@
         return self._election.leader == (leader, token) and self._cluster.is_lost(leader)
 
     def evidence_against(self, leader: NodeName, lost_at: Instant, writes_per_s: float) -> Evidence:
-        """What speaks now for the failure of a leader that was lost at this instant."""
-        others = [heartbeat for heartbeat in self._cluster.peer_heartbeats() if heartbeat.node != leader]
+        """Return the present evidence about a leader whose connection was lost at `lost_at`."""
+        other_heartbeats = [heartbeat for heartbeat in self._cluster.peer_heartbeats() if heartbeat.node != leader]
         return Evidence(
             is_refused=self._cluster.is_lost(leader),
-            peer_count=len(others),
-            agreeing_peers=sum(leader in heartbeat.lost_peers for heartbeat in others),
+            peer_count=len(other_heartbeats),
+            agreeing_peers=sum(leader in heartbeat.lost_peers for heartbeat in other_heartbeats),
             writes_per_s=writes_per_s,
-            quiet_s=self._follower.leader_silence_s(Instant(lost_at + IN_FLIGHT_S)),
+            quiet_s=self._follower.leader_silence_s(Instant(lost_at + IN_FLIGHT_WRITES_S)),
             workers_arrived=self._cluster.workers_arrived_since(lost_at),
             machine_count=self._follower.replica.counts().machines,
         )
@@ -216,8 +232,8 @@
         item = await self._store.get(LEADER_KEY, RequestPriority.LEADERSHIP)
         if item is None or item.mod_revision != Revision(token) or item.lease_id is None:
             return
-        log.info("revokes the lease of leader %s, token %d: %s", leader, token, reason)
+        log.info("revoking leader lease node=%s token=%d reason=%s", leader, token, reason)
         self._revoked_incarnation = decode_leader(item.value).incarnation
         self.revoked_count += 1
-        # Only this very lease: if the request is carried out late, there is nothing left to revoke.
+        # The request names this lease only: if it is executed late, the lease has ended and the next leader is safe.
         await self._store.revoke_lease(item.lease_id)
--- a/meadowcross/leadership/leader_lease.py
+++ b/meadowcross/leadership/leader_lease.py
@@ -1,4 +1,4 @@
-"""The store's lease that the leader's key is attached to, and how long this node can be certain of it."""
+"""The leader lease: the lease of the store that the leader key is attached to, and how long it is certainly valid."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 
 
 class LeaderLease:
-    """At most one lease at a time.
+    """Holds at most one lease at a time.
 
-    Its validity is counted from when the last answered request was sent, so that it never seems to live for longer
-    than the store lets it. The methods that ask the store raise its errors unless they say otherwise.
+    The validity of a lease is counted from the instant at which the last successful request was sent, so that the
+    local estimate never exceeds the time of the store. Methods that send requests raise the errors of the store client
+    unless their docstrings say otherwise.
     """
 
     def __init__(self, clock: Clock, store: StoreClient, ttl_s: Seconds) -> None:
@@ -33,55 +34,61 @@
         self.lease_id: LeaseId | None = None
 
     def has_valid_lease(self) -> bool:
-        """Whether the lease can't have ended, by when its last answered renewal was sent."""
+        """Return whether the lease can't have expired, by the send time of its last successful renewal."""
         return self._clock.seconds() < self._valid_until
 
     @property
     def is_prepared(self) -> bool:
-        """Whether a lease that was granted ahead of need has at least half its time left."""
+        """Whether a lease that was requested in advance has at least half its time left."""
         return self.lease_id is not None and self._clock.seconds() - self._prepared_at <= self.ttl_s / 2
 
     async def grant(self) -> LeaseId:
-        """A new lease, which counts for nothing until `keep_prepared`."""
+        """Return a new lease of the store. It is not used before `keep_prepared` is called with it."""
         return await self._store.grant_lease(self.ttl_s)
 
-    def keep_prepared(self, lease_id: LeaseId, asked_at: float) -> None:
-        """Keep a lease that was asked for at this instant, to campaign with or to be given the key under."""
-        self.lease_id, self._prepared_at = lease_id, asked_at
+    def keep_prepared(self, lease_id: LeaseId, requested_at: float) -> None:
+        """Keep a lease that was requested at this instant, for a campaign or for a leadership transfer to this node."""
+        self.lease_id, self._prepared_at = lease_id, requested_at
 
     async def acquire(self) -> LeaseId:
-        """A lease to campaign with: the prepared one, else the last one renewed, else a new one."""
-        asked_at = self._clock.seconds()
+        """Return a lease to campaign with: the prepared lease, else the current lease if renewed, else a new lease."""
+        requested_at = self._clock.seconds()
         if self.lease_id is not None and self.is_prepared:
-            asked_at = self._prepared_at
+            requested_at = self._prepared_at
         elif self.lease_id is None or not await self._store.renew_lease(self.lease_id, self.ttl_s):
             self.lease_id = await self.grant()
-        self._valid_until = asked_at + self.ttl_s
+        self._valid_until = requested_at + self.ttl_s
         return self.lease_id
 
     def confirm(self) -> None:
-        """The leader's key is attached to our lease. Where another leader attached it, the lease may be older than the
-        last one that we acquired."""
+        """Extend the validity because the leader key is attached to this lease.
+
+        In a leadership transfer the previous leader attaches the key to the prepared lease. Then the validity counts
+        from the request for that lease, not from the last `acquire`.
+        """
         self._valid_until = max(self._valid_until, self._prepared_at + self.ttl_s)
 
     async def renew(self, lease_id: LeaseId) -> bool:
-        """Returns whether the lease still lives."""
-        asked_at = self._clock.seconds()
+        """Renew the lease; return whether the lease still exists."""
+        requested_at = self._clock.seconds()
         is_alive = await self._store.renew_lease(lease_id, self.ttl_s)
         if is_alive and lease_id == self.lease_id:
-            self._valid_until = max(self._valid_until, asked_at + self.ttl_s)
+            self._valid_until = max(self._valid_until, requested_at + self.ttl_s)
         return is_alive
 
     def forget(self) -> None:
-        """Rely on the lease no more; it is left to expire."""
+        """Stop using the lease without a revocation; it expires at the store."""
         self.lease_id = None
 
     async def revoke(self) -> None:
-        """End the lease at the store, and with it the leader's key. Without an answer it is left to expire."""
+        """Revoke the lease at the store, which deletes the leader key.
+
+        If the store does not confirm the revocation, the lease is left to expire, and no error is raised.
+        """
         lease_id, self.lease_id = self.lease_id, None
         if lease_id is None:
             return
         try:
             await self._store.revoke_lease(lease_id)
         except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError):
-            log.debug("lease %d is left to expire", lease_id)
+            log.debug("leader lease not revoked, left to expire lease=%d", lease_id)
--- a/meadowcross/leadership/replica_check.py
+++ b/meadowcross/leadership/replica_check.py
@@ -1,4 +1,4 @@
-"""Compares a replica that a term began with to the store."""
+"""Compares the replica that a term started from with the store."""
 
 from __future__ import annotations
 
@@ -14,8 +14,11 @@
 
 
 async def verify_replica(state: TermState, store: StoreClient, follower: ReplicaFollower) -> None:
-    """Compare what was followed with the store, behind everything else. Each write is conditional, so a difference
-    broke no rule yet; but nobody knows what else is wrong, so a new term reads everything anew."""
+    """Compare the replica with the store at low priority, and step down if they differ.
+
+    Every write is conditional, so a difference has not yet caused a wrong write. But the extent of the fault is
+    unknown, so the replica is read again and a new term starts.
+    """
     replica = follower.replica
     differing_keys = await find_differences(
         state.context.clock,
@@ -25,9 +28,9 @@
     )
     if differing_keys:
         log.error(
-            "the picture differs from the store in %d keys: %s",
+            "replica differs from the store count=%d keys=%s",
             len(differing_keys),
             ", ".join(differing_keys[:MAX_LOGGED_KEYS]),
         )
-        follower.resync("it differs from the store")
-        state.context.leadership.step_down("its picture differed from the store")
+        follower.resync("replica differs from the store")
+        state.context.leadership.step_down("replica differs from the store")
--- a/tests/benchmarks/test_benchmarks.py
+++ b/tests/benchmarks/test_benchmarks.py
@@ -168,10 +168,10 @@
 
     lines = [
         "0.1 n0 " + ACCEPTED.format("000001", "normal", 80, 60),
-        "0.5 n0 I n0 leadership: leads with token 7",
+        "0.5 n0 I n0 leadership: started leading token=7",
         *(runs(1.0 + number / 4, number) for number in range(40)),
         "11.0 n1 D n1 jobs: a node that follows",
-        "13.0 n1 I n1 leadership: leads with token 9",
+        "13.0 n1 I n1 leadership: started leading token=9",
         "13.1 n1 I n1 leadership: term 9: 1 open jobs, 5 machines, 40 placements",
         *(runs(13.2, number, "n1") for number in range(40)),
         "13.3 n1 I n1 leadership: term 9: first placement stored after 0.3 s",
--- a/tests/leadership/test_leader_lease.py
+++ b/tests/leadership/test_leader_lease.py
@@ -1,4 +1,4 @@
-"""How long a node can be certain of its leader lease."""
+"""Local validity of the leader lease, which never exceeds its validity at the store."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
     return LeaderLease(world.clock, world.store, TTL_S)
 
 
-def test_lease_is_valid_for_its_time_from_when_it_was_asked_for(world, lease):
-    asked_at = world.clock.seconds()
+def test_lease_is_valid_for_its_ttl_from_the_request(world, lease):
+    requested_at = world.clock.seconds()
     assert not lease.has_valid_lease()
     world.run(lease.acquire())
-    world.clock.advance(asked_at + TTL_S - 0.1 - world.clock.seconds())
+    world.clock.advance(requested_at + TTL_S - 0.1 - world.clock.seconds())
     assert lease.has_valid_lease()
     world.clock.advance(0.2)
     assert not lease.has_valid_lease()
 
 
-def test_renewal_extends_only_the_lease_that_is_held(world, lease):
+def test_renewal_of_a_replaced_lease_does_not_extend_validity(world, lease):
     world.run(lease.acquire())
-    old = lease.lease_id
+    replaced_lease_id = lease.lease_id
     lease.keep_prepared(world.run(lease.grant()), world.clock.seconds())
     world.clock.advance(2.0)
-    assert world.run(lease.renew(old))
+    assert world.run(lease.renew(replaced_lease_id))
     world.clock.advance(1.0)
     assert not lease.has_valid_lease()
 
 
-def test_prepared_lease_is_campaigned_with_while_half_its_time_is_left(world, lease):
+def test_prepared_lease_is_used_while_half_its_time_is_left(world, lease):
     lease.keep_prepared(world.run(lease.grant()), world.clock.seconds())
-    prepared = lease.lease_id
-    assert lease.is_prepared and world.run(lease.acquire()) == prepared
+    prepared_lease_id = lease.lease_id
+    assert lease.is_prepared and world.run(lease.acquire()) == prepared_lease_id
     world.clock.advance(TTL_S)
     assert not lease.is_prepared
 
 
-def test_ended_lease_is_not_renewed_but_replaced(world, lease):
-    first = world.run(lease.acquire())
-    world.state.handle("DELETE", f"/holds/{first}", {}, b"")
-    assert not world.run(lease.renew(first))
+def test_ended_lease_is_replaced_instead_of_renewed(world, lease):
+    first_lease_id = world.run(lease.acquire())
+    world.state.handle("DELETE", f"/holds/{first_lease_id}", {}, b"")
+    assert not world.run(lease.renew(first_lease_id))
     world.clock.advance(TTL_S)
     assert not lease.has_valid_lease()
     world.run(lease.acquire())
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("outage", [False, True])
-def test_revoked_lease_is_forgotten_with_or_without_an_answer(world, lease, outage):
+def test_revoked_lease_is_forgotten_even_without_a_response(world, lease, outage):
     world.run(lease.acquire())
     world.state.outage = outage
     world.run(lease.revoke())
--- a/tests/simulation/test_overlapping_failures.py
+++ b/tests/simulation/test_overlapping_failures.py
@@ -156,7 +156,7 @@
 
 def hand_over(lab):
     election = lab.nodes[lab.leader()].election
-    election._was_transfer_futile = False
+    election._has_unconfirmed_transfer = False
     election.begin_transfer("asked to")
 
 
