--- a/meadowcross/leadership/hint_exchange.py
+++ b/meadowcross/leadership/hint_exchange.py
@@ -1,4 +1,7 @@
-"""Hints that a leader passes on to the next: what is in no record. They prove nothing."""
+"""Exports and applies hints: knowledge of a leader that the store does not hold, for the next leader.
+
+Hints may be lost or outdated, so no decision that needs proof may rest on them.
+"""
 
 from __future__ import annotations
 
@@ -17,12 +20,12 @@
 from meadowcross.workers.machine import Machine
 
 HINT_DECIMALS = 1
-"""Times in hints are rounded to tenths of a second."""
+"""Decimals to which times in hints are rounded: tenths of a second."""
 
 
 @dataclass(frozen=True, slots=True)
 class HintSources:
-    """The components whose unstored knowledge goes into hints."""
+    """The components that hold the knowledge which goes into hints."""
 
     scheduling_view: SchedulingView
     autoscaler: Autoscaler
@@ -34,7 +37,7 @@
 
 
 class HintExchange:
-    """Takes in the hints of the leader before, and tells what this one knows."""
+    """Applies the hints of the previous leader to a term, and exports the hints of this term."""
 
     def __init__(self, state: TermState, sources: HintSources) -> None:
         self._context = state.context
@@ -50,11 +53,13 @@
         self._commit_outcome = sources.commit_outcome
 
     def apply(self, hints: Hints) -> None:
-        """Take in which machines to wait for, and what to expect."""
+        """Apply hints of the previous leader about machines, failed jobs, boot times, cloud capacity and run times."""
         now = self._context.now
         self._apply_machine_hints(hints, now)
-        unavailable = [(MachineKind(name, zone, spot), left) for name, zone, spot, left in hints.unavailable_kinds]
-        self._autoscaler.import_state(hints.boot_times, unavailable, hints.last_shortage_age_s)
+        unavailable_kinds = [
+            (MachineKind(name, zone, spot), remaining_s) for name, zone, spot, remaining_s in hints.unavailable_kinds
+        ]
+        self._autoscaler.import_state(hints.boot_times, unavailable_kinds, hints.last_shortage_age_s)
         self._health.apply_hints(hints.failed_jobs, hints.job_pauses, self._job_table.jobs, now)
         self._preemption.import_attempts(hints.preemption_requests, now)
         means = self._estimators.means
@@ -72,11 +77,14 @@
                 machine.reclaim_at = Instant(now + eviction_in_s)
 
     def export(self) -> Hints | None:
-        """All that only this leader knows; None while the term is not active. The publisher adds node and number."""
+        """Return all hints of this term, or None while the term is not active.
+
+        The publisher fills in the node, the number and the settings digest.
+        """
         if not self._lifecycle.is_active:
             return None
         hints = self._collect()
-        # While a transaction is under way nobody knows what is stored.
+        # While a transaction is pending, the number of stored keys is unknown.
         key_counts = self._commit_outcome.count_stored_keys() if self._committer.is_idle() else None
         if key_counts is not None:
             hints.key_counts = key_counts
@@ -87,7 +95,7 @@
         machines = [
             m for m in self._worker_registry.machines.values() if m.is_up or m.contact.hinted_contact_at is not None
         ]
-        boot_times, unavailable, last_shortage_age_s = self._autoscaler.export_state()
+        boot_times, unavailable_kinds, last_shortage_age_s = self._autoscaler.export_state()
         failed_jobs, job_pauses = self._health.export_hints(now)
         means = self._estimators.means
         return Hints(
@@ -103,7 +111,9 @@
             failed_jobs=failed_jobs,
             job_pauses=job_pauses,
             boot_times=boot_times,
-            unavailable_kinds=[(kind.type, kind.zone, kind.spot, left) for kind, left in unavailable],
+            unavailable_kinds=[
+                (kind.type, kind.zone, kind.spot, remaining_s) for kind, remaining_s in unavailable_kinds
+            ],
             last_shortage_age_s=last_shortage_age_s,
             preemption_requests=self._preemption.export_attempts(now),
             runtime_ratios=dict(means.ratios) if means is not None else {},
--- a/meadowcross/leadership/messages.py
+++ b/meadowcross/leadership/messages.py
@@ -1,4 +1,4 @@
-"""The leader's record in the store and the messages between controllers."""
+"""The leader record in the store and the messages between controllers; their wire names stay in this file."""
 
 from __future__ import annotations
 
@@ -14,73 +14,75 @@
 
 
 class LeaderRecord(Struct):
-    """Who leads. The incarnation tells this process from its predecessors of the same name."""
+    """The value of the leader key: the leading node, and the incarnation that identifies its process."""
 
     node: NodeName
     incarnation: str = field(name="life")
 
 
 class PeerHeartbeat(Struct, tag="beat", tag_field="kind"):
-    """Sent to every peer about once a second."""
+    """State of a node, sent to every peer about once a second."""
 
     node: NodeName
     is_store_answering: bool = field(name="store_ok")
+    """Whether the store responds to the node."""
     leading_token: FencingToken | None = field(name="leads", default=None)
-    """The node's own token while it leads."""
+    """The token of the node while it leads, else None."""
     workers_heard: int = field(name="hears", default=0)
-    """How many workers reported to it lately, whoever leads."""
+    """Number of workers that sent heartbeats to the node recently, whether it leads or not."""
     incarnation: str = field(name="life", default="")
-    """Tells this process from its predecessors; empty from a node of an earlier version."""
+    """Identifies the process among all processes of the node; empty in messages from nodes of an earlier version."""
     is_in_sync: bool = field(name="warm", default=False)
-    """Whether it follows the store and could lead at once."""
+    """Whether the replica of the node is in sync, so that the node could lead at once."""
     lost_peers: list[NodeName] = field(name="lost", default_factory=list)
-    """Peers whose connection to it was closed, and that refuse to be called."""
+    """Peers whose connection to the node was closed and whose addresses refuse connections since."""
     store_epoch: int | None = field(name="era", default=None)
-    """The epoch it is in."""
+    """The store epoch that the node has read, or None before it has read one."""
     is_epoch_lost: bool = field(name="era_lost", default=False)
-    """Whether it has proof that the store lost data in this epoch."""
+    """Whether the node has proof that the store lost data in `store_epoch`."""
     is_loss_older: bool = field(name="era_lost_before", default=False)
-    """The loss is older than what it followed."""
+    """Whether the data loss is older than everything that the node followed, so that its replica lacks the data too."""
     has_history: bool = field(name="seasoned", default=False)
-    """It has seen somebody lead since its process began, so what it knows goes back to before now."""
+    """Whether the node has observed a leader since its process started; see `Election.has_history`."""
     highest_token: FencingToken = field(name="highest", default=FencingToken(0))
-    """The highest token it has seen anywhere."""
+    """The highest fencing token that the node has received from any source."""
     followed_revision: Revision = field(name="followed", default=Revision(0))
-    """Up to which revision it followed the store, a leader's own replica counted as one more."""
+    """The newest revision that the node has followed. After a data loss, the previous leader adds one, as it has
+    processed all writes."""
     store_utilization: float = field(name="store_used", default=0.0)
-    """The part of the store's limits that it used lately; what a leader leaves is lent to the others."""
+    """Recently used share of the rate limits of the store; followers may borrow what the leader leaves unused."""
     relay_room: int | None = None
-    """How many workers it can serve for a leader; None: it can't, as any node of an earlier version."""
+    """Number of workers that the node can serve as a relay; None if it can't relay, as nodes of an earlier version."""
 
 
 class ProgressRequest(Struct, tag="progress?", tag_field="kind"):
-    """Asks the leader for jobs' counts, for display."""
+    """Requests the task counts of jobs from the leader, for display."""
 
     number: int
     jobs: list[JobId]
 
 
 class ProgressResponse(Struct, tag="progress", tag_field="kind"):
-    """Done and running tasks of those jobs that the leader knows."""
+    """Numbers of done and running tasks of the requested jobs that the leader knows."""
 
     number: int
     counts: dict[JobId, tuple[int, int]]
     forecasts: dict[JobId, tuple[Seconds, Seconds, Seconds]] = field(name="ends", default_factory=dict)
-    """When they will be done, as `JobProgress` says it; a peer of an earlier version says nothing of it."""
+    """Forecast ends of jobs, as in `JobProgress`; empty in messages from nodes of an earlier version."""
 
 
 class ForwardRequest(Struct, tag="forward", tag_field="kind"):
-    """A user's request that its node can't answer, as the store refuses it alone."""
+    """Forwards a user's request from a node that the store refuses to a peer that reaches the store."""
 
     number: int
     operation: str
     job: str
-    """Empty where the job's id is in the body."""
+    """The job id, or empty if the id is in the body."""
     body: str
 
 
 class ForwardResponse(Struct, tag="forwarded", tag_field="kind"):
-    """The answer, to be passed on as it is."""
+    """The HTTP response to a forwarded request, to be returned to the user unchanged."""
 
     number: int
     status: int
@@ -89,30 +91,31 @@
 
 
 MAX_CANCELLATIONS = 1_000
-"""Of one message; it fits a netstring with room to spare."""
+"""Maximum number of cancellations in one message, well below the size limit of a netstring."""
 
 
 class CancellationNotice(Struct, tag="cancels?", tag_field="kind"):
-    """Cancellations that are stored, with their records' revisions.
+    """Announces stored cancellations, with the revisions of their records.
 
-    Who leads stops the tasks and starts nothing more of those jobs, with or without the store.
+    The leader stops the tasks of these jobs and starts no further ones, even if the store does not respond to it.
     """
 
     number: int
-    """Of the request; 0: no response is waited for."""
+    """Number of the request; 0 if the sender does not wait for a response."""
     token: FencingToken
-    """Of the leader as the sender knows it. A node of the version before takes no notice meant for another."""
+    """Token of the leader that the sender knows. Nodes of the previous version ignore notices with another token."""
     revisions: Annotated[dict[JobId, Revision], Meta(max_length=MAX_CANCELLATIONS)] = field(name="jobs")
     unrecorded: list[JobId] = []
-    """Those that are stored by an end only, not proven yet, as their records were lost."""
+    """Jobs whose cancellation is stored by an unproven end record only, as their job records were lost."""
 
 
 class CancellationAck(Struct, tag="cancels", tag_field="kind"):
-    """The leader has taken the cancellations in."""
+    """Confirms that the leader has applied the cancellations of a notice."""
 
     number: int
     free: list[JobId] = []
-    """What a node of the version before told users on. We name none: it then reads what is stored, as we do."""
+    """Jobs that nodes of the previous version report to users as cancelled. This version sends no jobs, so that those
+    nodes read the stored ends instead."""
 
 
 Message = (
--- a/meadowcross/leadership/peer_connection.py
+++ b/meadowcross/leadership/peer_connection.py
@@ -1,4 +1,4 @@
-"""One connection between two controllers: netstrings of JSON, called again whenever it closes."""
+"""A connection between two controllers that carries JSON messages as netstrings and reconnects when it closes."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 log = get_logger("leadership")
 
 MAX_MESSAGE_BYTES = 256 * 1024
-"""A user's body of 64 KiB, escaped as text within JSON."""
+"""Large enough for a user's request body of 64 KiB that is escaped as a JSON string."""
 
 
 class ConnectionListener(Protocol):
-    """Told of connections and of what comes in on them. Only connections that this node called have a peer's name."""
+    """Receives connection events and messages. Connection events are reported for outgoing connections only."""
 
     def on_connected(self, peer: NodeName, connection: PeerProtocol) -> None:
-        """The peer answered our call."""
+        """Handle an established outgoing connection to the peer."""
 
     def on_disconnected(self, peer: NodeName, connection: PeerProtocol) -> None:
-        """The connection to the peer is lost, and all that was to come on it."""
+        """Handle the loss of the outgoing connection to the peer; pending responses on it are lost."""
 
     def on_connect_failed(self, peer: NodeName, is_refused: bool) -> None:
-        """A call to the peer failed; `is_refused`: its address refuses connections."""
+        """Handle a failed connection attempt; `is_refused`: the address of the peer refused the connection."""
 
     def on_message(self, connection: PeerProtocol, message: Message) -> None:
-        """A message came in, on a connection that either side may have called."""
+        """Handle a message on an outgoing or incoming connection."""
 
 
 class PeerProtocol(NetstringReceiver):
-    """Sends and receives messages. What can't be read is dropped with one line in the log."""
+    """Sends and receives messages. An unreadable message is dropped and logged once."""
 
     MAX_LENGTH = MAX_MESSAGE_BYTES
 
     def __init__(self, listener: ConnectionListener, peer: NodeName | None = None) -> None:
-        """`peer` is whom this node called; None where the peer called."""
+        """`peer` is the peer of an outgoing connection; None for an incoming connection."""
         super().__init__()
         self._listener = listener
         self._peer = peer
@@ -55,7 +55,7 @@
     def connectionLost(self, _reason: Any = None) -> None:
         """See `twisted.internet.protocol.Protocol`."""
         if self.brokenPeer:
-            log.info("peer sent no netstring of at most %d bytes: its connection is closed", self.MAX_LENGTH)
+            log.info("peer connection closed after invalid netstring max_bytes=%d", self.MAX_LENGTH)
         if self._peer is not None:
             self._listener.on_disconnected(self._peer, self)
 
@@ -64,24 +64,25 @@
         try:
             message = decode(string)
         except msgspec.DecodeError as error:
-            log.info("peer sent what can't be read: %s", error)
+            log.info("unreadable message from peer dropped error=%s", error)
             return
         self._listener.on_message(self, message)
 
     def send(self, message: Message) -> None:
-        """Write the message; it is lost where the connection is."""
+        """Write the message. It is lost if the connection is lost."""
         self.sendString(encode(message))
 
 
 class PeerClientFactory(ReconnectingClientFactory):
-    """Calls one peer for as long as the process lives."""
+    """Connects to one peer, and reconnects until the process ends."""
 
     initialDelay = 0.3
     maxDelay = 2.0  # type: ignore[assignment]
     factor = 1.5
     noisy = False
     reconnect_delay = 0.01
-    """A closed connection is called again at once: a process that ended refuses, which is news for all."""
+    """Seconds until the first reconnect after a lost connection. The delay is short because a refused reconnect shows
+    that the process of the peer has ended."""
 
     def __init__(self, listener: ConnectionListener, peer: NodeName, clock: Any) -> None:
         self._listener = listener
@@ -106,7 +107,7 @@
 
 
 class PeerServerFactory(Factory):
-    """Takes the peers' calls."""
+    """Accepts incoming connections of peers."""
 
     noisy = False
 
--- a/meadowcross/leadership/peer_link.py
+++ b/meadowcross/leadership/peer_link.py
@@ -1,7 +1,7 @@
-"""The link between controllers: heartbeats, requests with responses, and messages that nobody answers.
+"""The link between controllers: heartbeats, requests with responses, and messages without a response.
 
-Every node calls every peer and also listens; a request goes out on the caller's connection and is answered on it.
-Nothing that a rule rests on depends on the link.
+Every node connects to every peer and accepts connections of all peers. A request is sent on an outgoing connection, and
+its response returns on the same connection. Correctness never depends on the link: messages may be lost or late.
 """
 
 from __future__ import annotations
@@ -60,16 +60,17 @@
 REPLICA_PART_TIMEOUT_S: Seconds = 1.0
 MAX_PENDING_REQUESTS = 256
 MAX_PENDING_RELAYED = 1_000
-"""Heartbeats or commands that wait for one peer; more are refused, so that what a slow peer holds up stays bounded."""
+"""Limit of forwarded heartbeats, and of forwarded commands, that wait for one peer. Requests beyond it are refused, so
+that a slow peer can't accumulate them."""
 
 PeerResponse = ProgressResponse | ForwardResponse | LeadershipOfferResponse | ReplicaPart | CancellationAck
 
 
 class PeerLink:
-    """Connections to all peers, what they last said, and the requests that are open between us."""
+    """Holds the connections to all peers, their last heartbeats and the pending requests."""
 
     def __init__(self, clock: Clock, peers: list[Peer]) -> None:
-        """The listeners must be set before `start`."""
+        """`set_listeners` must be called before `start`."""
         self._clock = clock
         self._peers = peers
         self._listeners: PeerListeners
@@ -84,11 +85,11 @@
         self._handlers = self._build_handlers()
 
     def set_listeners(self, listeners: PeerListeners) -> None:
-        """Once, before `start`: they need the link, too."""
+        """Set the listeners, once and before `start`. They are no constructor argument, as they depend on the link."""
         self._listeners = listeners
 
     def start(self, reactor: Any, bind: str) -> None:
-        """Listen at `bind` (host:port), call all peers, and send heartbeats."""
+        """Listen at `bind` (host:port), connect to all peers, and send heartbeats periodically."""
         host, _, port = bind.rpartition(":")
         reactor.listenTCP(int(port), PeerServerFactory(self), interface=host)
         for peer in self._peers:
@@ -117,35 +118,35 @@
             requests.on_connection_lost(connection)
 
     def on_connect_failed(self, peer: NodeName, is_refused: bool) -> None:
-        """See `ConnectionListener`. Of a lost peer the others hear at once."""
+        """See `ConnectionListener`. Report a lost peer to all other peers at once."""
         if self.status.record_connect_failed(peer, is_refused):
             self.send_heartbeats()
             self._listeners.heartbeats.on_peer_lost(peer)
 
-    # What this node sends
+    # Messages without a response
 
     def send_heartbeats(self) -> None:
-        """To all peers: each second, and at once where something happened that they should hear."""
+        """Send a heartbeat to all peers: every second, and at once after a change that peers must react to."""
         heartbeat = self._listeners.heartbeats.own_heartbeat()
         for connection in list(self._connections.values()):
             connection.send(heartbeat)
 
     def send_hints(self, hints: Hints) -> None:
-        """To all peers that understand them."""
+        """Send hints to all peers that support replication."""
         for peer, connection in list(self._connections.items()):
-            if self.status.understands_replication(peer):
+            if self.status.supports_replication(peer):
                 connection.send(hints)
 
     def request_full_hints(self, request: FullHintsRequest, leader: NodeName) -> None:
-        """Ask the leader, if it is connected and understands it, for all hints anew."""
+        """Request all hints from the leader, if it is connected and supports replication."""
         connection = self._connections.get(leader)
-        if connection is not None and self.status.understands_replication(leader):
+        if connection is not None and self.status.supports_replication(leader):
             connection.send(request)
 
     def send_relay(
         self, message: RelayGrant | HeartbeatRenewals | ResendRequest | RelayedWorkers, peer: NodeName
     ) -> bool:
-        """To one peer, at once or not at all: whether there is a connection to it."""
+        """Send a relay message to one peer; return False without sending if there is no connection to the peer."""
         connection = self._connections.get(peer)
         if connection is not None:
             connection.send(message)
@@ -156,22 +157,31 @@
     async def ask_leader(
         self, leader: NodeName, make_request: Callable[[int], ForwardedHeartbeat], timeout_s: Seconds
     ) -> HeartbeatAnswer:
-        """The leader's answer to a worker's heartbeat. Raises ConnectionFailedError and NoResponseError."""
+        """Forward a worker's heartbeat and return the leader's response.
+
+        Raise ConnectionFailedError if the request was certainly not sent, else NoResponseError.
+        """
         return await self._relayed_heartbeats.request(self._connections.get(leader), make_request, timeout_s)
 
     async def ask_relay(
         self, peer: NodeName, make_request: Callable[[int], ForwardedCommands], timeout_s: Seconds
     ) -> CommandsAnswer:
-        """What became of commands that a relay was to send. Raises ConnectionFailedError and NoResponseError."""
+        """Let a relay send commands to a worker, and return their outcome.
+
+        Raise ConnectionFailedError if the request was certainly not sent, else NoResponseError.
+        """
         return await self._relayed_commands.request(self._connections.get(peer), make_request, timeout_s)
 
     async def offer_leadership(self, peer: NodeName) -> LeadershipOfferResponse | None:
-        """Whether the peer would lead next, and by which lease; None without an answer."""
+        """Offer leadership to the peer; return its response, or None without a response.
+
+        The response has a lease for the leader key if the peer accepts.
+        """
         response = await self._request(self._connections.get(peer), LeadershipOffer, RESPONSE_TIMEOUT_S)
         return response if isinstance(response, LeadershipOfferResponse) else None
 
     async def request_replica_part(self, peer: NodeName, after_key: str) -> ReplicaPart | None:
-        """A part of what a peer followed before the store lost data."""
+        """Return a part of the replica that the peer followed before a data loss, or None without a response."""
         response = await self._request(
             self._connections.get(peer),
             lambda number: ReplicaPartRequest(number, after_key),
@@ -180,10 +190,12 @@
         return response if isinstance(response, ReplicaPart) else None
 
     async def announce_cancellations(self, leader: NodeName, notice: CancellationNotice) -> bool:
-        """Tell of cancellations that are stored: whether the leader has said in time that it took them in. The others
-        hear of them too, as any of them may lead next."""
-        for name, connection in list(self._connections.items()):
-            if name != leader:
+        """Send a cancellation notice to all peers; return whether the leader acknowledged the notice in time.
+
+        All other peers receive the notice too, as any of them may be elected next.
+        """
+        for peer, connection in list(self._connections.items()):
+            if peer != leader:
                 connection.send(notice)
         response = await self._request(
             self._connections.get(leader),
@@ -192,26 +204,31 @@
         )
         return isinstance(response, CancellationAck)
 
-    async def forward(self, operation: str, job: str, body: bytes, to: NodeName | None = None) -> ServerResponse | None:
-        """The answer of a peer that the store answers, or of the one named; None without one in time."""
+    async def forward(
+        self, operation: str, job: str, body: bytes, target: NodeName | None = None
+    ) -> ServerResponse | None:
+        """Forward a user request to the peer `target`, by default to any peer that reaches the store.
+
+        Return the response of the peer, or None without a connected peer or a response in time.
+        """
         peers = (
             heartbeat.node
             for heartbeat in self.status.recent_heartbeats()
-            if (heartbeat.is_store_answering if to is None else heartbeat.node == to)
+            if (heartbeat.is_store_answering if target is None else heartbeat.node == target)
         )
         connection = next((self._connections[peer] for peer in peers if peer in self._connections), None)
         if connection is None:
             return None
-        text = body.decode()
+        body_text = body.decode()
         response = await self._request(
-            connection, lambda number: ForwardRequest(number, operation, job, text), FORWARD_TIMEOUT_S
+            connection, lambda number: ForwardRequest(number, operation, job, body_text), FORWARD_TIMEOUT_S
         )
         if not isinstance(response, ForwardResponse):
             return None
         return ServerResponse(response.status, response.body.encode(), response.retry_after)
 
     def request_progress(self, leader: NodeName, job: JobId) -> Deferred[JobProgress | None]:
-        """The leader's counts, or None where it doesn't know the job or doesn't answer soon."""
+        """Return the progress of the job, or None if the leader does not know the job or does not respond in time."""
         return self._progress.request(leader, job)
 
     async def _send_progress_request(self, leader: NodeName, jobs: list[JobId]) -> dict[JobId, JobProgress]:
@@ -226,17 +243,17 @@
     async def _request(
         self, connection: PeerProtocol | None, make_request: Callable[[int], Message], timeout_s: Seconds
     ) -> PeerResponse | None:
-        """Send a request under a number of its own and wait for the response; None without one."""
+        """Send a request with a new number and return its response, or None without a connection or response."""
         try:
             return await self._requests.request(connection, make_request, timeout_s)
         except (ConnectionFailedError, NoResponseError):
             return None
 
-    # What peers say
+    # Messages from peers
 
     @property
     def handled_types(self) -> set[type]:
-        """The types of messages that are taken in."""
+        """The message types that have a handler."""
         return set(self._handlers)
 
     def on_message(self, connection: PeerProtocol, message: Message) -> None:
@@ -244,7 +261,7 @@
         self._handlers[type(message)](connection, message)
 
     def _build_handlers(self) -> dict[type, Callable[[PeerProtocol, Any], None]]:
-        """By the type of the message: one for each that `Message` names."""
+        """Return the handler for each message type in `Message`."""
         handlers: dict[type, Callable[[PeerProtocol, Any], None]] = {
             PeerHeartbeat: self._on_heartbeat,
             ProgressRequest: self._on_progress_request,
@@ -272,26 +289,28 @@
         self._listeners.heartbeats.on_heartbeat(heartbeat)
 
     def _on_progress_request(self, connection: PeerProtocol, request: ProgressRequest) -> None:
-        known = {
+        known_progress = {
             job: progress for job in request.jobs if (progress := self._listeners.requests.progress_of(job)) is not None
         }
-        counts = {job: (progress.done_count, progress.running_count) for job, progress in known.items()}
-        forecasts = {job: progress.forecast_s for job, progress in known.items() if progress.forecast_s is not None}
+        counts = {job: (progress.done_count, progress.running_count) for job, progress in known_progress.items()}
+        forecasts = {
+            job: progress.forecast_s for job, progress in known_progress.items() if progress.forecast_s is not None
+        }
         connection.send(ProgressResponse(request.number, counts, forecasts))
 
     def _on_forward_request(self, connection: PeerProtocol, request: ForwardRequest) -> None:
-        Deferred.fromCoroutine(self._answer_forwarded(connection, request))
+        Deferred.fromCoroutine(self._answer_forward_request(connection, request))
 
-    async def _answer_forwarded(self, connection: PeerProtocol, request: ForwardRequest) -> None:
+    async def _answer_forward_request(self, connection: PeerProtocol, request: ForwardRequest) -> None:
         try:
-            answer = await self._listeners.requests.serve_forwarded(
+            response = await self._listeners.requests.serve_forwarded(
                 request.operation, request.job, request.body.encode()
             )
         except Exception:
-            # The peer's request gets no response, and the next ones are served.
-            log.exception("a peer's request failed")
+            # The peer gets no response to this request; later requests are served.
+            log.exception("forwarded request of a peer failed")
             return
-        connection.send(ForwardResponse(request.number, answer.status, answer.body.decode(), answer.retry_after))
+        connection.send(ForwardResponse(request.number, response.status, response.body.decode(), response.retry_after))
 
     def _on_hints(self, _connection: PeerProtocol, hints: Hints) -> None:
         self._listeners.hints.on_hints(hints)
@@ -312,7 +331,7 @@
     async def _answer_leadership_offer(self, connection: PeerProtocol, offer: LeadershipOffer) -> None:
         connection.send(await self._listeners.requests.accept_leadership(offer.number))
 
-    # What leaders and relays say
+    # Messages between leaders and relays
 
     def _on_forwarded_heartbeat(self, connection: PeerProtocol, request: ForwardedHeartbeat) -> None:
         connection.send(self._listeners.relays.handle_forwarded_heartbeat(request))
--- a/meadowcross/leadership/peer_listeners.py
+++ b/meadowcross/leadership/peer_listeners.py
@@ -1,4 +1,4 @@
-"""Who takes what peers say on the link between controllers; see `peer_link.PeerLink`."""
+"""Interfaces of the components that handle the messages of peers; see `peer_link.PeerLink`."""
 
 from __future__ import annotations
 
@@ -24,79 +24,82 @@
 
 
 class HeartbeatListener(Protocol):
-    """What this node says of itself, and does with what peers say of themselves."""
+    """Builds the heartbeats of this node and handles the heartbeats of peers."""
 
     def own_heartbeat(self) -> PeerHeartbeat:
-        """What peers are told of this node now."""
+        """Return the heartbeat that this node sends to its peers now."""
 
     def on_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
-        """A peer's heartbeat came."""
+        """Handle a heartbeat of a peer."""
 
     def on_peer_lost(self, peer: NodeName) -> None:
-        """The connection to a peer was closed, and its address refuses."""
+        """Handle a lost peer: its connection was closed and its address refuses connections."""
 
 
 class PeerRequestHandler(Protocol):
-    """Answers peers' requests."""
+    """Responds to requests of peers."""
 
     def progress_of(self, job: JobId) -> JobProgress | None:
-        """A job's counts, where this node leads and knows the job."""
+        """Return the progress of the job, or None if this node does not lead or does not know the job."""
 
     def replica_part(self, request: ReplicaPartRequest) -> ReplicaPart:
-        """A part of what this node followed before the store lost data."""
+        """Return a part of the replica that this node followed before the store lost data."""
 
     async def accept_leadership(self, number: int) -> LeadershipOfferResponse:
-        """Whether this node would lead next, and by which lease; `number` is the request's."""
+        """Accept or decline leadership; an acceptance carries the lease for the leader key.
+
+        `number` is the number of the request.
+        """
 
     async def serve_forwarded(self, operation: str, job: str, body: bytes) -> ServerResponse:
-        """Answer a peer's user: the operation, the job's id where it is not in the body, the body."""
+        """Serve a user request that a peer forwarded. `job` is empty if the job id is in the body."""
 
 
 class HintListener(Protocol):
-    """Takes the leader's hints, or, at the leader, requests for them."""
+    """Handles hints on followers, and requests for hints on the leader."""
 
     def on_hints(self, hints: Hints) -> None:
-        """The leader's hints came."""
+        """Handle hints of the leader."""
 
     def on_full_hints_request(self) -> None:
-        """A peer missed some of our hints."""
+        """Handle the request of a peer that missed some hints of this node."""
 
 
 class CancellationListener(Protocol):
-    """Takes peers' notices of stored cancellations."""
+    """Handles notices of stored cancellations."""
 
     def on_notice(self, notice: CancellationNotice) -> bool:
-        """Whether this node leads and has taken them in."""
+        """Handle the notice; return whether this node leads and has applied the cancellations."""
 
 
 class RelayHandler(Protocol):
-    """What a node does with what leaders and relays say."""
+    """Handles the messages between a leader and its relays, on both sides."""
 
     def accept_grant(self, grant: RelayGrant) -> None:
-        """A leader lets this node answer workers for it."""
+        """Accept the permission of a leader to answer heartbeats of workers for it."""
 
     def request_full_heartbeats(self, request: ResendRequest) -> None:
-        """The leader wants whole heartbeats of these workers."""
+        """Forward the next heartbeat of each named worker in full, as the leader requests."""
 
     def apply_renewals(self, renewals: HeartbeatRenewals) -> None:
-        """A relay's workers are heard, and have nothing new to tell."""
+        """Renew the heartbeats of workers whose relay received heartbeats without changes."""
 
     def adopt_workers(self, relayed: RelayedWorkers) -> None:
-        """A relay tells which workers it answers."""
+        """Assign workers that already send their heartbeats to a relay to that relay."""
 
     def handle_forwarded_heartbeat(self, request: ForwardedHeartbeat) -> HeartbeatAnswer:
-        """A worker's whole heartbeat came through a relay."""
+        """Handle the full heartbeat of a worker that a relay forwarded."""
 
     async def send_commands(self, request: ForwardedCommands) -> CommandsAnswer:
-        """Send the leader's commands to a worker that reports here."""
+        """Send commands of the leader to a worker that reports to this node."""
 
     def on_peer_lost(self, peer: NodeName) -> None:
-        """The connection to the peer is lost: it relays no more."""
+        """Handle the loss of the connection to a peer, which can no longer relay."""
 
 
 @dataclass(frozen=True)
 class PeerListeners:
-    """Who takes what peers say."""
+    """The components that handle the messages of peers."""
 
     heartbeats: HeartbeatListener
     requests: PeerRequestHandler
--- a/meadowcross/leadership/pending_requests.py
+++ b/meadowcross/leadership/pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests to peers that wait for their responses, under numbers of their own."""
+"""Requests to peers that wait for their responses; a number pairs each request with its response."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 class NumberedResponse(Protocol):
-    """A response, with the number of its request."""
+    """A response that carries the number of its request."""
 
     @property
     def number(self) -> int:
-        """As the request gave it."""
+        """The number of the request that this message responds to."""
 
 
 class PeerConnection(Protocol[Request]):
-    """A connection that requests go out on."""
+    """A connection on which requests are sent."""
 
     def send(self, message: Request) -> None:
         """Write the message."""
 
 
 class PendingRequests(Generic[Request, Response]):
-    """Those of one kind, at most so many on a connection: what is more is refused, not buffered."""
+    """Pending requests of one kind. Requests beyond the limit per connection are refused, not buffered."""
 
     def __init__(self, clock: Clock, max_per_connection: int) -> None:
         self._clock = clock
@@ -46,16 +46,16 @@
         make_request: Callable[[int], Request],
         timeout_s: Seconds,
     ) -> Response:
-        """The response to what `make_request` builds for a number.
+        """Send the request that `make_request` builds for a new number, and return its response.
 
-        Raises ConnectionFailedError where the request certainly never left, else NoResponseError: also as soon as the
-        connection is lost.
+        Raise ConnectionFailedError if the request was certainly not sent, and NoResponseError if no response came
+        within `timeout_s` or the connection was lost.
         """
         if connection is None:
             raise ConnectionFailedError("no connection to the peer")
         pending = self._pending.setdefault(connection, {})
         if len(pending) >= self._max_per_connection:
-            raise ConnectionFailedError(f"{self._max_per_connection} requests are pending already")
+            raise ConnectionFailedError(f"{self._max_per_connection} requests to the peer are pending already")
         self._last_number += 1
         number = self._last_number
         response: Deferred[Response] = Deferred()
@@ -65,17 +65,17 @@
         try:
             return await response
         except DeferredTimeout as error:
-            raise NoResponseError(f"no response in {timeout_s:g} s") from error
+            raise NoResponseError(f"no response from the peer within {timeout_s:g} s") from error
         finally:
             pending.pop(number, None)
 
     def on_response(self, connection: PeerConnection[Request], response: Response) -> None:
-        """A response came; one that nobody waits for any more is dropped."""
-        waiting = self._pending.get(connection, {}).pop(response.number, None)
-        if waiting is not None:
-            waiting.callback(response)
+        """Complete the pending request of the response; drop a response without a pending request."""
+        pending_response = self._pending.get(connection, {}).pop(response.number, None)
+        if pending_response is not None:
+            pending_response.callback(response)
 
     def on_connection_lost(self, connection: PeerConnection[Request]) -> None:
-        """The connection is lost, and with it all responses that were to come on it."""
-        for waiting in list(self._pending.pop(connection, {}).values()):
-            waiting.errback(NoResponseError("the connection is lost"))
+        """Fail all pending requests on the connection with NoResponseError."""
+        for pending_response in list(self._pending.pop(connection, {}).values()):
+            pending_response.errback(NoResponseError("connection to the peer lost"))
--- a/meadowcross/leadership/progress_requests.py
+++ b/meadowcross/leadership/progress_requests.py
@@ -1,4 +1,4 @@
-"""Asks the leader for jobs' progress, many jobs in one request."""
+"""Requests the progress of jobs from the leader, many jobs in one message."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from meadowcross.jobs.messages import JobProgress
 
 MAX_JOBS_PER_REQUEST = 1_000
-"""So that the response fits a netstring."""
+"""Limit with which the response fits into a netstring of the peer connection."""
 
 SendProgressRequest = Callable[[NodeName, list[JobId]], Awaitable[dict[JobId, JobProgress]]]
-"""Asks a node for the progress of jobs; the result lacks those that it doesn't know or doesn't answer for."""
+"""Requests the progress of jobs from a node; the result lacks unknown jobs, and is empty without a response."""
 
 
 class ProgressRequests:
-    """What is asked in one turn of the reactor goes as one request."""
+    """Combines all requests of one reactor turn into one message."""
 
     def __init__(self, clock: Clock, send: SendProgressRequest) -> None:
         self._clock = clock
@@ -26,7 +26,7 @@
         self._waiting: dict[JobId, list[Deferred[JobProgress | None]]] = {}
 
     def request(self, leader: NodeName, job: JobId) -> Deferred[JobProgress | None]:
-        """The leader's counts, or None where it doesn't know the job or doesn't answer soon."""
+        """Return the progress of the job, or None if the leader does not know the job or does not respond in time."""
         result: Deferred[JobProgress | None] = Deferred()
         if not self._waiting:
             self._clock.callLater(0, lambda: Deferred.fromCoroutine(self._send_waiting(leader)))
--- a/tests/leadership/test_peer_link.py
+++ b/tests/leadership/test_peer_link.py
@@ -1,4 +1,4 @@
-"""The link between controllers takes every message that they send."""
+"""The link between controllers handles every message type."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 from meadowcross.leadership.peer_link import PeerLink
 
 
-def test_every_message_has_a_handler(world):
+def test_every_message_type_has_a_handler(world):
     assert PeerLink(world.clock, []).handled_types == set(get_args(Message))
--- a/tests/leadership/test_peer_status.py
+++ b/tests/leadership/test_peer_status.py
@@ -1,4 +1,4 @@
-"""When a peer counts as heard, and when as lost."""
+"""Freshness of peer heartbeats, and detection of lost peers."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 PEER = NodeName("n1")
 
-CALLS = [
-    # whether the connection was closed before, whether the call was refused, whether the peer is lost
+CONNECTION_ATTEMPTS = [
+    # name, whether a connection was closed before, whether the address refused the attempt, whether the peer is lost
     ("refused after its connection was closed", True, True, True),
-    ("refused, and never connected", False, True, False),
-    ("no answer after its connection was closed", True, False, False),
+    ("refused without an earlier connection", False, True, False),
+    ("timeout after its connection was closed", True, False, False),
 ]
 
 
@@ -23,28 +23,35 @@
     return PeerStatus(world.clock)
 
 
-@pytest.mark.parametrize(("was_closed", "is_refused", "is_lost"), [c[1:] for c in CALLS], ids=[c[0] for c in CALLS])
-def test_peer_is_lost_once_its_address_refuses_after_its_connection_closed(status, was_closed, is_refused, is_lost):
+@pytest.mark.parametrize(
+    ("was_closed", "is_refused", "is_lost"),
+    [case[1:] for case in CONNECTION_ATTEMPTS],
+    ids=[case[0] for case in CONNECTION_ATTEMPTS],
+)
+def test_peer_is_lost_if_its_address_refuses_after_its_connection_closed(status, was_closed, is_refused, is_lost):
     status.record_heartbeat(PeerHeartbeat(PEER, True))
     if was_closed:
         status.record_disconnected(PEER)
     assert status.record_connect_failed(PEER, is_refused) is is_lost
     assert status.is_lost(PEER) is is_lost and status.lost_peers() == ([PEER] if is_lost else [])
     assert status.fresh_heartbeats() == ([] if is_lost else status.recent_heartbeats())
-    assert not status.record_connect_failed(PEER, True), "told once"
+    assert not status.record_connect_failed(PEER, True), "a lost peer is reported once"
 
 
-def test_peer_is_no_longer_lost_when_a_heartbeat_comes_or_it_is_connected(world, status):
-    for back in (lambda: status.record_heartbeat(PeerHeartbeat(PEER, True)), lambda: status.record_connected(PEER)):
+def test_heartbeat_or_connection_ends_the_loss_of_a_peer(world, status):
+    for return_peer in (
+        lambda: status.record_heartbeat(PeerHeartbeat(PEER, True)),
+        lambda: status.record_connected(PEER),
+    ):
         status.record_disconnected(PEER)
         assert status.record_connect_failed(PEER, True)
         world.clock.advance(0.1)
-        back()
+        return_peer()
         assert not status.is_lost(PEER)
         status.record_connected(PEER)
 
 
-def test_heartbeats_count_only_while_they_are_fresh(world, status):
+def test_old_heartbeats_are_ignored(world, status):
     status.record_heartbeat(PeerHeartbeat(PEER, True, FencingToken(7), 5))
     status.record_heartbeat(PeerHeartbeat(NodeName("n2"), False, FencingToken(9), 3))
     assert (status.peer_has_store(), status.most_workers_heard(), status.reported_leader()) == (True, 5, ("n2", 9))
