--- a/meadowcross/leadership/cancellation_broadcast.py
+++ b/meadowcross/leadership/cancellation_broadcast.py
@@ -1,10 +1,11 @@
-"""Stored cancellations, announced to the leader, so that it stops the tasks at once.
+"""Announces stored cancellations to the leader, so that it stops the tasks at once.
 
-A leader learns of cancellations by its watch. Refused by the store alone its watch stands still, and in an outage of
-all nodes it goes on answering its workers: what it never heard of ran on for as long as that lasted. So whoever stored
-a cancellation announces it to the leader, and repeats that until a leader has acknowledged it, or has read it.
+A leader reads cancellations from its watch. If the store refuses only the leader, the watch stalls, and if the store
+then fails for all nodes, the leader still responds to its workers, so the cancelled tasks would run until the end of
+the outage. Therefore the node that stored a cancellation announces it to the leader, and repeats the announcement until
+a leader has acknowledged it or has certainly read it from the store.
 
-Nothing that users hear rests on the announcement: they hear `cancelled` once the end of the job is stored
+Responses to users do not depend on announcements: a job is reported as `cancelled` only once its end is stored
 (`jobs/api.py`).
 """
 
@@ -25,32 +26,33 @@
 log = get_logger("leadership")
 
 BATCH_DELAY_S: Seconds = 0.02
-"""Cancellations are collected for so long: hundreds a second cost a few messages, not hundreds."""
+"""Cancellations are collected for this long, so that hundreds per second need only a few messages."""
 RETRY_INTERVAL_S: Seconds = 1.0
 MAX_REMEMBERED_JOBS = 5_000
+"""Limit of remembered announcements; the oldest are dropped."""
 
 SendNotice = Callable[[NodeName, CancellationNotice], Awaitable[bool]]
-"""Sends a notice to the leader, and to all other peers; whether the leader acknowledged it in time."""
+"""Sends a notice to the leader and all other peers; returns whether the leader acknowledged the notice in time."""
 
 
 class CancellationHandler(Protocol):
-    """A leader's term, as far as cancellations go."""
+    """The part of a leader's term that applies announced cancellations."""
 
     def apply_announced_cancellations(self, notice: CancellationNotice) -> bool:
-        """Stop the tasks of these jobs; False where the term can't take them in now."""
+        """Stop the tasks of the jobs in the notice; return False if the term can't apply the notice now."""
 
 
 class StoredCancellation(NamedTuple):
-    """The revision at which a job's cancellation was stored, and whether on no record but the end's."""
+    """The revision at which a cancellation was stored, and whether it is unrecorded (stored by the end record only)."""
 
     revision: Revision
     is_unrecorded: bool
 
 
 class CancellationBroadcast:
-    """Announces what was stored here, and remembers what peers announced.
+    """Announces cancellations that this node stored, and remembers cancellations that peers announced.
 
-    Of a job whose cancellation was announced to it a node knows that for good: cancellations are irrevocable.
+    Cancellations are irrevocable, so a remembered announcement never becomes wrong.
     """
 
     def __init__(
@@ -60,7 +62,10 @@
         known_leader: Callable[[], tuple[NodeName, FencingToken] | None],
         send_notice: SendNotice,
     ) -> None:
-        """`current_term` is this node's own, while it leads; `known_leader` who leads as far as it knows."""
+        """`current_term` returns the term of this node, or None while it does not lead.
+
+        `known_leader` returns the last known leader and its token, or None.
+        """
         self._clock = clock
         self._current_term = current_term
         self._known_leader = known_leader
@@ -70,10 +75,10 @@
         self._announced: OrderedDict[JobId, None] = OrderedDict()
         self._unacknowledged: dict[JobId, StoredCancellation] = {}
 
-    # What others announce
+    # Announcements of peers
 
     def on_notice(self, notice: CancellationNotice) -> bool:
-        """A peer's announcement, or our own. Returns whether we lead and have taken it in."""
+        """Remember the announced cancellations, and apply them if this node leads; return whether they were applied."""
         with self._lock:
             for job in notice.revisions:
                 self._announced.pop(job, None)
@@ -84,28 +89,32 @@
         return term is not None and term.apply_announced_cancellations(notice)
 
     def is_announced(self, job: JobId) -> bool:
-        """Whether a peer, or this node, has said that the job's cancellation is stored."""
+        """Return whether a peer or this node has announced a stored cancellation of the job."""
         return job in self._announced
 
     @property
     def announced_count(self) -> int:
-        """Of how many jobs this node remembers that their cancellation was announced."""
+        """The number of jobs whose announced cancellation this node remembers, at most `MAX_REMEMBERED_JOBS`."""
         return len(self._announced)
 
-    # What this node announces
+    # Announcements of this node
 
     @property
     def unacknowledged_count(self) -> int:
-        """How many cancellations no leader has taken in yet."""
+        """The number of cancellations that no leader has acknowledged yet."""
         return len(self._unacknowledged)
 
     def announce(self, job: JobId, revision: Revision, unrecorded: bool) -> None:
-        """A cancellation was stored, or read, at this revision; `unrecorded`: on no record but the end's."""
+        """Announce a cancellation that was stored, or read, at this revision.
+
+        `unrecorded`: it is stored by the end record only, as the job record was lost.
+        """
         with self._lock:
             self._unacknowledged[job] = StoredCancellation(revision, unrecorded)
-            # A leader that never answers, as one of an early version, hears by its watch: the oldest are let go.
-            for oldest in list(self._unacknowledged)[: max(0, len(self._unacknowledged) - MAX_CANCELLATIONS)]:
-                del self._unacknowledged[oldest]
+            # A leader that never acknowledges, such as one of an early version, relies on its watch. The oldest
+            # cancellations are dropped.
+            for oldest_job in list(self._unacknowledged)[: max(0, len(self._unacknowledged) - MAX_CANCELLATIONS)]:
+                del self._unacknowledged[oldest_job]
         self._schedule(BATCH_DELAY_S)
 
     def _schedule(self, delay_s: Seconds) -> None:
@@ -124,17 +133,18 @@
         self._schedule(RETRY_INTERVAL_S)
 
     def _take_pending(self, token: FencingToken) -> dict[JobId, StoredCancellation]:
-        """What the leader with this token may not have read; the rest is let go.
+        """Return the cancellations that the leader with this token may not have read, and drop all others.
 
-        Whoever was elected after a cancellation was stored has read it before anything else, but for one on no record.
-        In a new epoch revisions begin anew, and a leader that has read it hears of it once more.
+        A leader that was elected after a cancellation was stored reads that cancellation before anything else, unless
+        the cancellation is unrecorded. In a new epoch revisions start again, so a leader may receive an announcement
+        of a cancellation that it has read.
         """
-        elected_at = revision_of(token)
+        election_revision = revision_of(token)
         with self._lock:
             self._unacknowledged = {
                 job: cancellation
                 for job, cancellation in self._unacknowledged.items()
-                if cancellation.is_unrecorded or cancellation.revision >= elected_at
+                if cancellation.is_unrecorded or cancellation.revision >= election_revision
             }
             return dict(self._unacknowledged)
 
@@ -145,11 +155,11 @@
         try:
             is_acknowledged = self.on_notice(notice) or await self._send_notice(node, notice)
         except Exception:
-            # What is pending is sent again.
+            # The pending cancellations are sent again after the retry interval.
             log.exception("announcing cancellations failed")
             return
-        outcome = "acknowledged" if is_acknowledged else "no answer"
-        log.info("%d stored cancellations announced to leader %s: %s", len(pending), node, outcome)
+        outcome = "acknowledged" if is_acknowledged else "unacknowledged"
+        log.info("stored cancellations announced count=%d node=%s outcome=%s", len(pending), node, outcome)
         if is_acknowledged:
             self._forget_acknowledged(pending)
 
