--- a/meadowcross/leadership/cancellation_tracker.py
+++ b/meadowcross/leadership/cancellation_tracker.py
@@ -1,4 +1,4 @@
-"""Ends cancelled jobs, and proves that none of their tasks is left."""
+"""Stops the tasks of cancelled jobs, and verifies that none of them is left."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 log = get_logger("leadership")
 
-CANCEL_PATIENCE_SHARE = 0.5
-"""A machine that holds a cancelled task for this share of the allowed time is deleted."""
+CANCEL_TIMEOUT_SHARE = 0.5
+"""A machine that still has a cancelled task after this share of the allowed time is decommissioned."""
 MAX_STOPS_PER_TICK = 16
-"""So many stops without an answer are sent again at each tick: a leader has other work."""
+"""Stops without a response are sent again to at most this many machines per tick, which leaves time for other work."""
 
 
 class CancellationTracker:
-    """Stops the tasks of cancelled jobs, by their record or by a peer's word, and stores ends that are proven."""
+    """Applies cancellations from records and from peers' announcements, and stores ends once they are proven."""
 
     def __init__(
         self,
@@ -52,19 +52,22 @@
         self._pass_trigger = pass_trigger
 
     def apply_cancellation(self, job: Job, cancelled_at: WallTime) -> None:
-        """The job's cancel is stored, by its record or by a peer's word alone: stop its tasks."""
+        """Stop the tasks of a job whose cancellation is stored, as its record or only a peer's announcement shows."""
         if job.cancelled_at is None:
-            log.info("job %s is cancelled, %d tasks placed", job.id, len(job.placements))
-        # The time is the canceller's: a clock ahead of ours would put off the deletion of machines that hold tasks.
+            log.info("cancellation applied job=%s tasks=%d", job.id, len(job.placements))
+        # The time is from the clock of the controller that stored the cancellation. If that clock is ahead of ours, the
+        # deletion of machines that hold tasks would be delayed.
         job.cancelled_at = WallTime(min(cancelled_at, self._context.now))
         if self._lifecycle.is_loaded:
             self.stop_all_tasks(job)
             self._pass_trigger.schedule_pass()
 
     def apply_announced(self, notice: CancellationNotice) -> bool:
-        """Stop the tasks of jobs whose cancels are stored by a peer's word, which is as good as the watch: that stands
-        still where the state service refuses this node alone. Their ends wait until the records have been read.
-        False: the term can't take the notice in now."""
+        """Stop the tasks of jobs whose cancellations a peer announced as stored.
+
+        An announcement is as reliable as the watch, which gets no changes while the state service refuses only this
+        controller. The ends of these jobs are stored once their records have been read. Returns False if the term can't
+        apply the notice now."""
         if not self._lifecycle.is_active:
             return False
         for job_id, revision in notice.revisions.items():
@@ -76,50 +79,50 @@
         return True
 
     def _apply_unrecorded(self, job_id: JobId, revision: Revision) -> None:
-        """Only machines know the job: they are told to stop what is on no record, as of any job that is over."""
+        """Mark a job without a record as ended; machines then stop its tasks, as those of any ended job."""
         self._ended_jobs.add_unconfirmed(job_id, revision, self._context.now)
         for machine in self._worker_registry.machines.values():
             machine.proof.reconciled_tasks = None
 
     def stop_all_tasks(self, job: Job) -> None:
-        """Stop what may run of a cancelled job, and release what was never sent."""
+        """Stop the tasks of a cancelled job that may run, and release its placements whose start was never sent."""
         now = self._context.now
         for placement in list(job.placements.values()):
             if not placement.may_have_started:
                 self._worker_registry.unassign(placement, job.spec, now)
                 self._job_table.release(placement)
             else:
-                # Also what saves a checkpoint: nobody has any use for it.
+                # Without a grace time: a checkpoint of a cancelled job is of no use.
                 self._placement_writer.stop_task(placement, 0.0)
         self._placement_writer.after_release(job)
 
     def retry(self) -> None:
-        """Repeat stops without an answer, store ends that are proven, and have machines deleted that hold on to
-        cancelled tasks."""
+        """Send stops without a response again, store ends that are proven, and decommission machines that have held
+        cancelled tasks for too long."""
         now = self._context.now
         for placement in unacknowledged_stops(self._job_table.jobs.values(), now, MAX_STOPS_PER_TICK):
             self._placement_writer.dispatcher.enqueue_stop(placement)
-        self._confirm_terminations()
+        self._confirm_ends()
         if not self._context.leadership.has_valid_lease():
             return
-        patience_s = CANCEL_PATIENCE_SHARE * self._context.settings.facts.workers.cancel_s
-        for job, late_s in overdue_cancellations(self._job_table.jobs.values(), self._context.now, patience_s):
+        timeout_s = CANCEL_TIMEOUT_SHARE * self._context.settings.facts.workers.cancel_s
+        for job, cancelled_for_s in overdue_cancellations(self._job_table.jobs.values(), self._context.now, timeout_s):
             machine_ids = [p.machine for p in job.placements.values()]
-            reason = f"holds tasks of job {job.id}, cancelled {late_s:.0f} s ago"
+            reason = f"holds tasks of job {job.id}, cancelled {cancelled_for_s:.0f} s ago"
             self._decommissioner.decommission(machine_ids, reason)
 
-    def _confirm_terminations(self) -> None:
-        """Store as final the ends of cancelled jobs that only machines knew, once no machine can have tasks of them."""
+    def _confirm_ends(self) -> None:
+        """Store the ends of cancelled jobs without a record as final, once no machine can have tasks of them."""
         for job_id, end in self._ended_jobs.unconfirmed.items():
             if self._verification.is_state_complete() and self._is_on_no_machine(job_id, end.known_since):
-                self._committer.enqueue(("proven", job_id), self._end_write(job_id, end.revision), True)
+                self._committer.enqueue(("proven", job_id), self._end_write_factory(job_id, end.revision), True)
 
-    def _end_write(self, job_id: JobId, revision: Revision) -> Callable[[], Write | None]:
+    def _end_write_factory(self, job_id: JobId, revision: Revision) -> Callable[[], Write | None]:
         key = job_messages.ended_key(job_id)
         record = encode_raw(job_messages.EndedRecord(job_messages.JobState.CANCELLED, 0))
 
         def on_stored(_revision: Revision) -> None:
-            log.info("job %s, known by its tasks only, ended: cancelled", job_id)
+            log.info("confirmed the end of a job without a record job=%s state=cancelled", job_id)
             self._ended_jobs.confirm(job_id)
 
         def build() -> Write | None:
@@ -130,9 +133,10 @@
         return build
 
     def _is_on_no_machine(self, job_id: JobId, known_since: Instant) -> bool:
-        """Whether no machine has a task of a job without a record, by what each has told since the job is known to be
-        over. A machine older than this term that has not told may have any; until it has, stale tasks of such a job may
-        be looked up, and be in neither list."""
+        """Whether no machine has a task of a job without a record, according to the statuses since its end is known.
+
+        A machine that is older than this term and has sent no status since may have any task. Until it has sent one,
+        stale tasks of the job may be in a lookup in the store, and so in neither list."""
         return all(
             (
                 (machine.proof.has_confirmed_token and (machine.contact.last_status_at or 0.0) > known_since)
--- a/meadowcross/leadership/commit_outcome.py
+++ b/meadowcross/leadership/commit_outcome.py
@@ -1,4 +1,4 @@
-"""What follows from a transaction that was stored, refused, or never answered."""
+"""Updates a term's state after a transaction was stored, rejected, or got no response."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class JobRecordSink(Protocol):
-    """Takes in what is stored of an open job."""
+    """Receives the stored records of open jobs."""
 
     def apply(self, key: str, value: Raw, revision: Revision) -> None:
         """See `JobRecords.apply`."""
 
 
 class CommitOutcome:
-    """Keeps the term's state in step with the store, after each write and after each write of unknown fate."""
+    """Keeps the term's state consistent with the store after each write, also after writes with an unknown result."""
 
     def __init__(
         self,
@@ -49,7 +49,9 @@
         self._last_write_revision = Revision(0)
 
     def count_stored_keys(self) -> tuple[Revision, int, int, int, int] | None:
-        """The revision of our replica and its counts of keys, by kind; None if it lacks a write of ours."""
+        """Returns the revision of our replica and its counts of keys by kind, as in `KeyCounts`.
+
+        Returns None without a replica, or if the replica lacks a write of this term."""
         if self._follower is None:
             return None
         replica = self._follower.replica
@@ -58,11 +60,11 @@
         return (replica.revision, *replica.counts())
 
     def set_job_records(self, job_records: JobRecordSink) -> None:
-        """Set what takes in open jobs that are read again."""
+        """Set the receiver of open jobs that are read again."""
         self._job_records = job_records
 
     def on_written(self, revision: Revision, changes: Sequence[Put | Delete]) -> None:
-        """A transaction of ours was stored at this revision."""
+        """Apply a transaction of this term that was stored at `revision`."""
         self._last_write_revision = revision
         if self._follower is not None:
             self._follower.apply_own_write(revision, changes)
@@ -71,9 +73,9 @@
                 self._recovery.on_stored(change.key)
 
     async def reread_keys(self, keys: list[str]) -> None:
-        """Take in what the keys hold now, after a conflict or a lost answer. Raises `StoreError`."""
-        # As known before the reads: the watch may tell of something newer while an answer is on its way, and what is
-        # older than that must not be taken for a loss of data.
+        """Read the keys and apply their present values, after a conflict or a lost response. Raises `StoreError`."""
+        # Taken before the reads: the watch may deliver a newer version while a response is on its way, and the older
+        # version in that response must not count as a data loss.
         revisions_before = {
             key: job.mod_revision
             for key in keys
@@ -86,11 +88,11 @@
             if not await self._apply_key(key, item, revisions_before.get(key, Revision(0))):
                 return
             if self._follower is not None:
-                # Only now: what is gone without our doing was lost, and our replica still has it.
+                # Only after the check: the replica must keep a key that the store has lost.
                 self._follower.apply_read(key, item)
 
     async def _apply_key(self, key: str, item: Item | None, revision_before: Revision) -> bool:
-        """Take in one key. False: the term ends, or data was lost; nothing else that was read counts."""
+        """Apply the value of one key. Returns False if the term ends or data was lost: the rest is then ignored."""
         if key == LEADER_KEY:
             return self._apply_leader_key(item)
         if key.startswith(job_messages.CHUNK_PREFIX):
@@ -107,7 +109,7 @@
 
     def _apply_leader_key(self, item: Item | None) -> bool:
         if item is None or item.mod_revision != self._context.leader_condition.mod_revision:
-            self._context.leadership.step_down("the leader key is no longer ours")
+            self._context.leadership.step_down("the leader key has changed")
             return False
         return True
 
@@ -118,7 +120,7 @@
             return True
         revision = item.mod_revision if item is not None else Revision(0)
         if revision < job.chunk_revisions.get(chunk, 0):
-            self._recovery.report_data_loss(f"{key} went back")
+            self._recovery.report_data_loss(f"{key} has a lower revision than before")
             return False
         job.chunk_revisions[chunk] = revision
         return True
@@ -127,18 +129,18 @@
         job = self._job_table.jobs.get(JobId(key.removeprefix(job_messages.OPEN_PREFIX)))
         if item is not None:
             if item.mod_revision < revision_before:
-                self._recovery.report_data_loss(f"{key} went back")
+                self._recovery.report_data_loss(f"{key} has a lower revision than before")
                 return False
             assert self._job_records is not None
             self._job_records.apply(item.key, item.value, item.mod_revision)
         elif job is not None and job.mod_revision > 0:
-            # Only a leader moves a job away, so our own transaction without an answer did.
+            # Only a leader deletes an open job, so our own transaction without a response did that.
             ended = await self._store.get(job_messages.ended_key(job.id), RequestPriority.PLACEMENT)
             if ended is None:
                 self._recovery.report_data_loss(f"{key} is gone")
                 return False
             if self._follower is not None:
-                # Stored by the same transaction: without it our replica counts one job less.
+                # Stored by the same transaction: without this key our replica counts one ended job too few.
                 self._follower.apply_read(ended.key, ended)
             self._job_table.remove(job.id)
             self._ended_jobs.add(job.id)
@@ -147,11 +149,11 @@
     def _apply_recovery_progress(self, item: Item | None) -> None:
         epochs = self._recovery.store_epochs
         if epochs is not None:
-            # Ours, carried out without an answer: it is rewritten from where it stands.
+            # Our own write was executed without a response: the next write is built from the stored value.
             epochs.load_progress(item)
 
     def _apply_ended_job(self, key: str) -> None:
-        """What was about to be written back as open is over."""
+        """Mark a job as ended that was about to be written back as open."""
         job_id = JobId(key.removeprefix(job_messages.ENDED_PREFIX))
         self._ended_jobs.confirm(job_id)
         self._job_table.remove(job_id)
--- a/meadowcross/leadership/ended_jobs.py
+++ b/meadowcross/leadership/ended_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs that a term knows to be over."""
+"""Tracks which jobs have ended."""
 
 from __future__ import annotations
 
@@ -10,41 +10,41 @@
 
 
 class UnconfirmedEnd(NamedTuple):
-    """A job that only machines knew was cancelled; its stored end does not yet say that none of its tasks is left."""
+    """The end of a cancelled job without a record, stored while machines may still have tasks of the job."""
 
     revision: Revision
-    """Of the stored end."""
+    """The revision of the stored end."""
     known_since: Instant
 
 
 class EndedJobs:
-    """Tells whether a job is over, by the replica of the store and by what this term has seen itself."""
+    """Determines whether a job has ended, from the store's replica and from the ends that this term has processed."""
 
     def __init__(self, follower: ReplicaFollower | None) -> None:
         self._follower = follower
         self._known_ended: set[JobId] = set()
-        """Jobs that are over although the replica may not say so."""
+        """Jobs that have ended although the replica may not show it yet."""
         self.unconfirmed: dict[JobId, UnconfirmedEnd] = {}
 
     def add(self, job_id: JobId) -> None:
-        """Remember that the job is over."""
+        """Record that the job has ended."""
         self._known_ended.add(job_id)
 
     def add_unconfirmed(self, job_id: JobId, revision: Revision, now: Instant) -> None:
-        """Remember that the job is over, and that its tasks may still be on machines."""
+        """Record that the job has ended, and that machines may still have tasks of it."""
         self._known_ended.add(job_id)
         self.unconfirmed[job_id] = UnconfirmedEnd(revision, now)
 
     def confirm(self, job_id: JobId) -> None:
-        """Its end is stored as final."""
+        """Record that the job's end is stored as final. Does nothing for other jobs."""
         self.unconfirmed.pop(job_id, None)
 
-    def is_known(self, job_id: JobId) -> bool:
-        """Whether this term has seen the end itself. Cheaper than `has_ended`: asks no replica."""
+    def has_processed_end(self, job_id: JobId) -> bool:
+        """Whether this term has processed the job's end. Cheaper than `has_ended`: it does not read the replica."""
         return job_id in self._known_ended
 
     def has_ended(self, job_id: JobId) -> bool:
-        """Whether the job is over, as far as is known here."""
+        """Whether the job has ended, according to this term or the replica."""
         return job_id in self._known_ended or self._has_end_record(job_id)
 
     def _has_end_record(self, job_id: JobId) -> bool:
--- a/meadowcross/leadership/heartbeat_handler.py
+++ b/meadowcross/leadership/heartbeat_handler.py
@@ -1,4 +1,4 @@
-"""Answers workers' heartbeats."""
+"""Responds to workers' heartbeats."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 class CancellationsBeforeLoad:
-    """Knows cancelled jobs before a term has loaded its state, which an outage may put off for long.
+    """Detects cancelled jobs before a term has loaded its state, which an outage can delay for long.
 
-    Answers to heartbeats keep the leases of workers, so without this cancelled tasks would go on for as long."""
+    Responses to heartbeats renew worker leases, so cancelled tasks would otherwise run until the state is loaded."""
 
     def __init__(self, follower: ReplicaFollower | None, is_cancel_announced: Callable[[JobId], bool]) -> None:
-        """`is_cancel_announced` tells whether a peer has said that the job's cancel is stored."""
+        """`is_cancel_announced`: whether a peer announced that the job's cancellation is stored."""
         self._follower = follower
         self._is_cancel_announced = is_cancel_announced
         self._is_cancelled_by_replica: dict[JobId, bool] = {}
 
     def list_stops(self, heartbeat: Heartbeat) -> list[Command]:
-        """Commands that stop, at once, what is known to be cancelled."""
+        """Returns commands that stop, without a grace time, those of the heartbeat's tasks whose jobs are cancelled."""
         return [
             Command("stop", task.task, task.attempt, 0.0)
             for task in heartbeat.tasks
@@ -47,7 +47,7 @@
 
 
 class HeartbeatHandler:
-    """Takes whole heartbeats, from workers or from relays, and answers with commands."""
+    """Handles full heartbeats, from workers or from relays, and responds with commands."""
 
     def __init__(
         self,
@@ -67,20 +67,20 @@
         self._cancellations_before_load = cancellations_before_load
 
     def handle(self, heartbeat: Heartbeat, relay: NodeName | None = None) -> HeartbeatResponse | Redirect | None:
-        """Answer a worker's heartbeat, which came directly or whole through `relay`. None: this node does not lead
-        any more."""
+        """Respond to a worker's full heartbeat, which came directly or through `relay`. Returns None if this controller
+        is no longer the leader."""
         token = self._context.token
         if not self._lifecycle.is_loaded:
-            # Renews the worker's lease; proves nothing yet.
+            # The response renews the worker lease; the status is not applied before the state is loaded.
             if heartbeat.token > token:
                 return None
             return HeartbeatResponse(token, self._cancellations_before_load.list_stops(heartbeat))
         if self._autoscaler.is_deleted(heartbeat.machine):
             return HeartbeatResponse(token, [])
-        known = self._worker_registry.machines.get(heartbeat.machine)
-        # A late copy says nothing of whom its machine reaches now.
-        is_copy = known is not None and heartbeat.version <= max(
-            known.proof.heartbeat_version, known.proof.renewed_version
+        known_machine = self._worker_registry.machines.get(heartbeat.machine)
+        # A late copy does not show which controller its machine reaches now.
+        is_copy = known_machine is not None and heartbeat.version <= max(
+            known_machine.proof.heartbeat_version, known_machine.proof.renewed_version
         )
         try:
             is_newest = self._status_handler.apply(heartbeat)
@@ -95,7 +95,7 @@
         return HeartbeatResponse(token, commands_for(machine, self._job_table) if is_newest else [])
 
     def is_settled(self, heartbeat: Heartbeat) -> bool:
-        """Whether the same heartbeat again would be answered with no command, and would tell nothing new."""
+        """Whether the same heartbeat, sent again, would get no command and change nothing."""
         machine = self._worker_registry.machines.get(heartbeat.machine)
         return (
             machine is not None
@@ -109,7 +109,7 @@
         )
 
     def on_command_response(self, heartbeat: Heartbeat) -> None:
-        """Take in the status in a worker's answer to commands."""
+        """Apply the status in a worker's response to commands, if the machine is still registered."""
         if self._lifecycle.is_stopped or heartbeat.machine not in self._worker_registry.machines:
             return
         try:
--- a/meadowcross/leadership/job_records.py
+++ b/meadowcross/leadership/job_records.py
@@ -1,4 +1,4 @@
-"""Takes in the records of open jobs as they are loaded, and follows those that users store."""
+"""Applies the records of open jobs as they are loaded, and watches the store for later changes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class JobRecords:
-    """Keeps the job table up with the stored records of open jobs."""
+    """Keeps the job table up to date with the stored records of open jobs."""
 
     def __init__(
         self,
@@ -55,17 +55,19 @@
         self._pass_trigger = pass_trigger
 
     def apply(self, key: str, value: Raw, revision: Revision) -> None:
-        """Take in the record of an open job at this revision, as read or watched; older ones change nothing."""
+        """Apply the record of an open job at this revision, as read or watched; an older revision changes nothing."""
         job_id = JobId(key.removeprefix(job_messages.OPEN_PREFIX))
         job = self._job_table.jobs.get(job_id)
-        if (job is not None and revision <= job.mod_revision) or (job is None and self._ended_jobs.is_known(job_id)):
-            # A peer's word can be faster than the watch, which then tells of a job that has ended since. Added again
-            # with no attempts, a task of it on a machine would count as proof that records were lost.
+        if (job is not None and revision <= job.mod_revision) or (
+            job is None and self._ended_jobs.has_processed_end(job_id)
+        ):
+            # An announced cancellation can arrive before the watch, which then shows a job that has ended since. If the
+            # job were added again, without its attempts, its tasks on machines would count as proof of a data loss.
             return
         record = job_messages.decode_record(value)
         if job is None:
             job = self._job_table.add(record, revision)
-            log.debug("job %s joins the queue", job.id)
+            log.debug("new open job job=%s", job.id)
             if self._lifecycle.is_loaded and self._recovery.is_unsettled():
                 self._reconciler.on_job_resubmitted(job)
         self._on_new_version(job, revision, record.cancelled_at)
@@ -81,7 +83,7 @@
 
 
 class JobWatch:
-    """Watches the store for submissions and cancels until the term is over."""
+    """Watches the store for submissions and cancellations until the term ends."""
 
     def __init__(
         self, state: TermState, store: StoreClient, follower: ReplicaFollower | None, job_records: JobRecords
@@ -93,7 +95,7 @@
         self._job_records = job_records
 
     async def run(self, revision: Revision) -> None:
-        """Take in what is stored after this revision."""
+        """Apply all changes of open jobs after this revision."""
         while not self._lifecycle.is_stopped:
             try:
                 response = await self._store.watch(job_messages.OPEN_PREFIX, revision, WATCH_TIMEOUT_S)
@@ -101,7 +103,7 @@
                 revision = await self._try_reread(revision)
                 continue
             except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
-                log.debug("watch of jobs: %s", error)
+                log.debug("watch of open jobs failed, retrying error=%s", error)
                 await pause(self._clock, WATCH_RETRY_S)
                 continue
             if self._lifecycle.is_stopped:
@@ -114,7 +116,9 @@
                     self._job_records.apply(event.written_key, event.value, event.mod_revision)
 
     async def _try_reread(self, revision: Revision) -> Revision:
-        """Read all open jobs anew, as the store does not keep what changed since `revision`; unchanged on failure."""
+        """Read all open jobs again, as the store no longer has the changes since `revision`.
+
+        Returns the revision to watch from, which is `revision` if the read fails."""
         try:
             items, new_revision = await self._store.list_items(job_messages.OPEN_PREFIX)
         except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError):
--- a/meadowcross/leadership/machine_records.py
+++ b/meadowcross/leadership/machine_records.py
@@ -1,4 +1,4 @@
-"""Machines as a term knows and stores them."""
+"""Registers the machines of a term and stores their records."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         return next((t for t in self._context.list_machine_types() if t.name == name), None)
 
     def add_machine(self, machine_id: MachineId, kind: MachineKind) -> Machine:
-        """The machine of this name, registered if it is new; what was unknown of its kind is filled in."""
+        """Returns the machine with this id, registered if it is new. Fills in an unknown kind or type."""
         machine = self._worker_registry.machines.get(machine_id)
         if machine is None:
             machine_type = self._find_machine_type(kind.type)
@@ -39,7 +39,8 @@
         return machine
 
     def store_machine(self, machine: Machine) -> None:
-        """Store the machine's record; at once if it is up and waits for that, else when there is time."""
+        """Store the machine's record: urgently if the machine is up and was never stored, as no task is placed on it
+        before that, else in the background."""
 
         def build() -> Write | None:
             if machine.id not in self._worker_registry.machines or not machine.kind.type:
@@ -56,14 +57,14 @@
 
 
 class MachineDecommissioner:
-    """Has machines deleted by name."""
+    """Decommissions machines by their ids."""
 
     def __init__(self, worker_registry: WorkerRegistry, autoscaler: Autoscaler) -> None:
         self._worker_registry = worker_registry
         self._autoscaler = autoscaler
 
     def decommission(self, machine_ids: list[MachineId], reason: str) -> None:
-        """Have those of the machines deleted that still exist."""
+        """Decommission those of the machines that are still registered."""
         for machine_id in machine_ids:
             machine = self._worker_registry.machines.get(machine_id)
             if machine is not None:
--- a/meadowcross/leadership/placement_writer.py
+++ b/meadowcross/leadership/placement_writer.py
@@ -1,4 +1,4 @@
-"""Stores placements and ends of jobs, starts what is stored, and stops and releases tasks."""
+"""Stores placements and ends of jobs, sends starts of stored placements, and stops and releases tasks."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandTransport:
-    """How commands reach workers."""
+    """Sends commands to workers."""
 
     send: SendCommands
     count_probing_nodes: Callable[[], int]
-    """How many nodes send probes: so many times as many go out at once."""
+    """Returns how many controllers send probes; the number of concurrent probes is multiplied by it."""
 
 
 class PlacementWriter:
-    """Takes a placement from its decision to its release.
+    """Handles placements from their decision to their release.
 
-    A placement is stored before its start is sent; it is released once its task is proven to be on no machine, or
-    its start was certainly never sent."""
+    A placement is stored before its start is sent. It is released once its task is proven to be on no machine, or its
+    start was certainly not sent."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         transport: CommandTransport,
         pass_trigger: PassTrigger,
     ) -> None:
-        """`max_changes`: at most so many keys are changed by one transaction."""
+        """`max_changes`: maximum number of keys that one transaction changes."""
         self._state = state
         self._context = state.context
         self._lifecycle = state.lifecycle
@@ -68,7 +68,8 @@
     def set_listeners(
         self, on_status: Callable[[Heartbeat], None], on_job_ended: Sequence[Callable[[Job], None]]
     ) -> None:
-        """Set who is told of workers' answers to commands, and, in this order, of each job whose end is stored."""
+        """Set the callback for statuses in command responses, and the callbacks that run, in this order, for each job
+        whose end is stored."""
         self._on_status = on_status
         self._on_job_ended = on_job_ended
 
@@ -80,14 +81,14 @@
             on_job_ended(job)
 
     def on_placement_stored(self, placement: Placement) -> None:
-        """Send the start, if the placement still counts."""
+        """Send the start, unless the placement was completed or released meanwhile."""
         if self._state.is_current_placement(placement):
             self._lifecycle.log_milestone("first placement stored")
             placement.phase = PlacementPhase.STORED
             self.dispatcher.enqueue_start(placement)
 
     def may_start(self, placement: Placement) -> bool:
-        """Whether its start may be sent now."""
+        """Whether the start of this placement may be sent now."""
         job = self._job_table.jobs.get(placement.task.job)
         may_start = (
             not self._lifecycle.is_stopped
@@ -101,7 +102,7 @@
         return may_start
 
     def on_start_not_sent(self, placement: Placement) -> None:
-        """The start was certainly not sent: the task is on no machine."""
+        """Release a placement whose start was certainly not sent, so that its task is on no machine."""
         job = self._job_table.jobs.get(placement.task.job)
         if job is None or placement.may_have_started or not self._state.is_current_placement(placement):
             return
@@ -111,21 +112,21 @@
         self._pass_trigger.schedule_pass()
 
     def after_release(self, job: Job) -> None:
-        """Store what follows from released or completed tasks of the job: its end, or its changed chunks."""
+        """After tasks of the job were released or completed, store its end if it is due, else its changed chunks."""
         if job.is_gang and not job.placements:
             job.gang_attempt = None
         if not self.job_writer.enqueue_end_if_due(job):
             self.job_writer.enqueue_dirty_chunks()
 
     def stop_task(self, placement: Placement, grace_s: Seconds) -> None:
-        """Have the worker stop the task within `grace_s`; a shorter time replaces a longer one."""
+        """Have the worker stop the task within `grace_s`; a shorter grace time replaces a longer one."""
         if placement.stop_requested_at is None or grace_s < placement.grace_s:
             placement.stop_requested_at = self._context.now
             placement.grace_s = grace_s
-            # Repeated with each answer to a heartbeat, so a relay must not answer the next one by itself.
+            # Each heartbeat response repeats the stop, so a relay must not respond to the next heartbeat by itself.
             self._worker_registry.machines[placement.machine].proof.reconciled_tasks = None
             self.dispatcher.enqueue_stop(placement)
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Stop sending commands."""
         self.dispatcher.stop()
--- a/meadowcross/leadership/reconciler.py
+++ b/meadowcross/leadership/reconciler.py
@@ -1,4 +1,4 @@
-"""Reconciles what machines show with the records: detects lost records, and adopts tasks that have none."""
+"""Reconciles the tasks that machines report with the records: detects lost records, and adopts orphaned tasks."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 log = get_logger("leadership")
 
 LOST_ATTEMPTS_MARGIN = 1_000
-"""More than a task can have been tried in the part of its records that is lost."""
+"""More attempts than a task can have had in the lost part of its records."""
 
 
 class Reconciler:
-    """Compares tasks on machines with the records of jobs."""
+    """Compares the tasks on machines with the records of jobs."""
 
     def __init__(
         self,
@@ -56,18 +56,20 @@
         self._ended_jobs = ended_jobs
         self._recovery = recovery
         self._queried_jobs: set[JobId] = set()
-        """Jobs that the store is being asked about."""
+        """Unknown jobs that are being looked up in the store."""
 
     def reconcile(self, machine: Machine) -> None:
-        """Take in tasks that the machine's newest status shows without a record, or ended."""
+        """Process the tasks in the machine's newest status that have no placement or have exited."""
         if self._recovery.is_unsettled():
             self.adopt_orphans(machine)
         else:
             self._detect_lost_records(machine)
 
     def adopt_orphans(self, machine: Machine) -> None:
-        """After a loss, tasks on a machine that no record tells of belong to somebody: those of a known job are taken
-        as placed, or done; those of an unknown job are left alone until its user submits it again or time is up."""
+        """Adopt the machine's tasks whose records were lost.
+
+        Tasks of an open job are recorded as placed or done. Tasks of an unknown job are neither stopped nor reaped
+        until its user submits the job again, or the settling stage ends."""
         stale, exited = machine.reported.stale, machine.reported.exited
         machine.reported.orphaned, machine.reported.stale, machine.reported.exited = [], [], []
         for task in (*stale, *exited):
@@ -80,7 +82,7 @@
                 (machine.reported.exited if has_exited else machine.reported.stale).append(task)
 
     def on_job_resubmitted(self, job: Job) -> None:
-        """A job came while records may be lost: what machines still have of it is its own."""
+        """Adopt the tasks that machines still have of a job that was submitted again while records may be lost."""
         job.attempts = [LOST_ATTEMPTS_MARGIN] * job.spec.tasks
         for machine in self._worker_registry.machines.values():
             if any(TaskId.parse(task.task).job == job.id for task in machine.reported.orphaned):
@@ -88,12 +90,13 @@
                 self.adopt_orphans(machine)
 
     def _adopt_orphan(self, machine: Machine, job: Job, task_id: TaskId, reported: worker_messages.TaskReport) -> bool:
-        """Take a reported task as what its record would have said. False: its record is newer."""
+        """Record a reported task as placed or done, as its lost record did. Returns whether it is placed: False if its
+        record is newer or the task has exited."""
         known_placement = job.placements.get(task_id.number)
-        if not self._is_beyond_record(job, task_id, reported.attempt, known_placement):
+        if not self._is_newer_than_record(job, task_id, reported.attempt, known_placement):
             return False
         if known_placement is not None:
-            # A later attempt was started only after this one was proven gone.
+            # A later attempt is only started once the earlier one is proven to be on no machine.
             self._worker_registry.unassign(known_placement, job.spec, self._context.now)
             self._job_table.release(known_placement)
         has_exited = reported.state is worker_messages.TaskState.EXITED
@@ -108,7 +111,8 @@
         return True
 
     @staticmethod
-    def _is_beyond_record(job: Job, task_id: TaskId, attempt: int, known_placement: Placement | None) -> bool:
+    def _is_newer_than_record(job: Job, task_id: TaskId, attempt: int, known_placement: Placement | None) -> bool:
+        """Whether the attempt is newer than the task's record, whose attempts were raised by `LOST_ATTEMPTS_MARGIN`."""
         if job.done_flags[task_id.number]:
             return False
         if known_placement is not None:
@@ -122,17 +126,19 @@
         if job.is_gang:
             job.gang_attempt = max(p.attempt for p in job.placements.values())
         self._job_table.mark_dirty(job, task_id.number, True)
-        log.info("task %s attempt %d on %s is taken over from its report", task_id, attempt, machine.id)
+        log.info("adopted orphaned task task=%s attempt=%d machine=%s", task_id, attempt, machine.id)
         return placement
 
     def _detect_lost_records(self, machine: Machine) -> None:
-        """Whatever runs was stored before it was started. A machine that has our token and shows an attempt that is
-        beyond its record, or a job of which there is none, proves that records were lost."""
+        """Report a data loss if the machine has a task that the records can't explain.
+
+        A placement is stored before its task is started. So a machine that has confirmed our token proves a loss if it
+        reports a higher attempt than the record has, or a task of a job without a record."""
         for task in (*machine.reported.stale, *machine.reported.exited):
             task_id = TaskId.parse(task.task)
             job = self._job_table.jobs.get(task_id.job)
             if job is None:
-                if self._may_query(task_id.job):
+                if self._may_look_up(task_id.job):
                     self._queried_jobs.add(task_id.job)
                     machine.reported.stale = [stale for stale in machine.reported.stale if stale is not task]
                     Deferred.fromCoroutine(self._look_up_job(task_id.job, machine))
@@ -141,11 +147,11 @@
                 continue
             if task.attempt > job.attempts[task_id.number]:
                 self._recovery.report_data_loss(
-                    f"attempt {task.attempt} of task {task_id} on {machine.id} is on no record", True
+                    f"attempt {task.attempt} of task {task_id} on {machine.id} has no record", True
                 )
                 return
 
-    def _may_query(self, job_id: JobId) -> bool:
+    def _may_look_up(self, job_id: JobId) -> bool:
         return (
             self._recovery.collector is not None
             and job_id not in self._queried_jobs
@@ -153,7 +159,8 @@
         )
 
     async def _look_up_job(self, job_id: JobId, machine: Machine) -> None:
-        """Ask the store about an unknown job that runs: is it over, has it just come, or is its record lost?"""
+        """Look up an unknown job with running tasks in the store: it has ended, was just submitted, or its record is
+        lost."""
         open_key, ended_key = job_messages.open_key(job_id), job_messages.ended_key(job_id)
         try:
             if await self._store.get(ended_key, RequestPriority.PLACEMENT) is not None:
@@ -162,14 +169,14 @@
             elif not await self._store.find_changed_keys(
                 [Condition(open_key, Revision(0)), Condition(ended_key, Revision(0))], RequestPriority.PLACEMENT
             ):
-                self._recovery.report_data_loss(f"job {job_id}, which {machine.id} runs, is on no record", True)
+                self._recovery.report_data_loss(f"job {job_id}, which runs on {machine.id}, has no record", True)
         except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
-            log.debug("job %s on %s is not known: %s", job_id, machine.id, error)
+            log.debug("lookup of unknown job failed job=%s machine=%s error=%s", job_id, machine.id, error)
         self._queried_jobs.discard(job_id)
 
     def settle_orphaned_jobs(self) -> None:
-        """Store which jobs without a record machines still run, so that every node answers for them, and end the
-        settling stage when time is up: all other unknown jobs are then answered as unknown."""
+        """Store which jobs without a record still have tasks on machines, so that every controller reports them as
+        running, and end the settling stage when its time is over: other unknown jobs are then reported as unknown."""
         epochs = self._recovery.store_epochs
         if epochs is None or epochs.stage is not RecoveryStage.SETTLING or epochs.progress is None:
             return
@@ -182,15 +189,13 @@
             return
         for job_id in unknown_jobs:
             if job_id not in progress.proven_jobs:
-                log.error(
-                    "job %s has no record, but %d tasks on machines: it counts as running", job_id, task_counts[job_id]
-                )
+                log.error("job without a record counts as running job=%s tasks=%d", job_id, task_counts[job_id])
         proven_jobs = [str(job_id) for job_id in unknown_jobs]
         self._store_progress(epochs, None if is_over else msgspec.structs.replace(progress, proven_jobs=proven_jobs))
 
     def _drop_ended_orphans(self) -> None:
-        """Orphaned tasks of jobs that were cancelled meanwhile are shown as any other task without a record by their
-        machine's next status."""
+        """Drop orphaned tasks of jobs that have ended meanwhile; the next status of their machine lists them as stale,
+        so that they are stopped."""
         for machine in self._worker_registry.machines.values():
             remaining = [
                 task
--- a/meadowcross/leadership/state_loader.py
+++ b/meadowcross/leadership/state_loader.py
@@ -1,4 +1,4 @@
-"""Loads the stored state at the beginning of a term: machines, open jobs and placements."""
+"""Loads the stored machines, open jobs and placements at the beginning of a term."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 MACHINES_PER_SLICE = 500
 JOBS_PER_SLICE = 50
 CHUNKS_PER_SLICE = 5
-"""Each some ten milliseconds of work."""
+"""A slice of machines, of jobs or of chunks takes some ten milliseconds to load."""
 T = TypeVar("T")
 
 
 class StoredState(NamedTuple):
-    """Stored items, complete up to a revision."""
+    """Stored items, complete up to `revision`."""
 
     machines: Sequence[Item]
     jobs: Sequence[Item]
@@ -40,7 +40,7 @@
 
 
 class StateReader:
-    """Gets the stored state from this node's replica, from a recovery, or from the store."""
+    """Reads the stored state from this controller's replica, from a recovery, or from the store."""
 
     def __init__(
         self, state: TermState, store: StoreClient, follower: ReplicaFollower | None, recovery: TermRecovery
@@ -50,12 +50,13 @@
         self._follower = follower
         self._recovery = recovery
         self.was_replica_followed = False
-        """Whether the state came from a replica that had been followed: it may differ from the store."""
+        """Whether the state came from a replica that was kept up to date by the store's changes: it may differ from the
+        store."""
         self.merged_state: MergedState | None = None
-        """What a recovery collected, if there was one."""
+        """The state that a recovery collected; None without a recovery."""
 
     async def read(self) -> StoredState:
-        """Raises `StoreError`."""
+        """Returns the stored state. Raises `StoreError`."""
         collector = self._recovery.collector
         if collector is not None and collector.is_needed():
             return await self._recover(collector)
@@ -78,14 +79,15 @@
         return stored
 
     async def _read_from_store(self) -> StoredState:
-        # Jobs between the other two: nothing else than this leader changes machines and chunks.
+        # Jobs are listed between machines and chunks, and their revision holds for all: only this leader changes the
+        # other two.
         machines, _ = await self._store.list_items(MACHINE_KEY_PREFIX)
         jobs, revision = await self._store.list_items(OPEN_PREFIX)
         chunks, _ = await self._store.list_items(CHUNK_PREFIX)
         return StoredState(machines, jobs, chunks, revision)
 
     async def _recover(self, collector: StateRecovery) -> StoredState:
-        """After a loss: what is still known somewhere, with the revisions that the store has of it now."""
+        """After a data loss, returns the state that controllers still hold, with its present revisions in the store."""
         merged, revision = await collector.collect()
         self.merged_state = merged
         if self._follower is not None:
@@ -121,7 +123,9 @@
         self._cancellation_tracker = cancellation_tracker
 
     async def load(self) -> Revision:
-        """Load all, in slices; ends early if the term ends. Returns the revision to watch from. Raises `StoreError`."""
+        """Load the stored state in slices; ends early if the term ends.
+
+        Returns the revision to watch from. Raises `StoreError`."""
         stored = await self._reader.read()
         now = self._context.now
         async for item in self._in_slices(stored.machines, MACHINES_PER_SLICE):
@@ -131,7 +135,7 @@
         async for item in self._in_slices(stored.chunks, CHUNKS_PER_SLICE):
             self._load_chunk(item, now)
         async for job in self._in_slices(list(self._job_table.jobs.values()), JOBS_PER_SLICE):
-            self._finish_job(job)
+            self._finish_loading(job)
         return stored.revision
 
     def _load_machine(self, item: Item, now: Instant) -> None:
@@ -150,14 +154,14 @@
             self._placement_writer.job_writer.enqueue_delete(item.key)
             return
         job.chunk_revisions[chunk] = item.mod_revision
-        first = job.chunk_range(chunk).start
-        for index, attempt, machine_id in job.load_chunk(first, decode_chunk(item.value)):
+        first_index = job.chunk_range(chunk).start
+        for index, attempt, machine_id in job.load_chunk(first_index, decode_chunk(item.value)):
             placement = self._job_table.adopt_placement(job, index, attempt, machine_id, now)
             machine = self._machine_records.add_machine(MachineId(machine_id), MachineKind("", "", False))
             self._worker_registry.assign(machine, placement, job.spec)
 
-    def _finish_job(self, job: Job) -> None:
-        """All chunks of the job are loaded."""
+    def _finish_loading(self, job: Job) -> None:
+        """Derive the job's state from its chunks, which are all loaded, and continue its end or its cancellation."""
         self._job_table.rebuild_waiting(job)
         if job.is_gang and job.placements:
             job.gang_attempt = max(p.attempt for p in job.placements.values())
@@ -166,8 +170,10 @@
             self._cancellation_tracker.stop_all_tasks(job)
 
     async def _in_slices(self, items: Sequence[T], size: int) -> AsyncIterator[T]:
-        """The items, with a turn of the reactor after so many: 50,000 placements at once took a second and more, in
-        which no renewal went out, and the lease of a new leader ended before it had begun."""
+        """Yield the items, and let the reactor run after every `size` of them.
+
+        Loading 50,000 placements at once took more than a second, in which no renewal was sent, so that the lease of a
+        new leader expired before its term was loaded."""
         for number, item in enumerate(items, 1):
             if self._lifecycle.is_stopped:
                 return
--- a/meadowcross/leadership/term_recovery.py
+++ b/meadowcross/leadership/term_recovery.py
@@ -1,4 +1,4 @@
-"""A term's access to the recovery of a store that has lost data."""
+"""Connects a leader term to the recovery of a store that lost data."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class TermRecovery:
-    """Reports losses, and owns the write-back of a term that began on a store with lost data.
+    """Reports data loss, and runs the write-back of a term that began on a store with lost data.
 
-    `recovery` is None where a node does not take part in recovery: then nothing counts as lost."""
+    `recovery` is None on a controller that takes no part in recovery: data loss is then ignored."""
 
     def __init__(self, recovery: StateRecovery | None) -> None:
         self._recovery = recovery
@@ -27,25 +27,26 @@
 
     @property
     def collector(self) -> StateRecovery | None:
-        """What collects the state that nodes still know; None where this node takes no part in recovery."""
+        """The recovery, which collects the state that controllers still hold; None if this controller takes no part."""
         return self._recovery
 
     @property
     def store_epochs(self) -> StoreEpochs | None:
-        """The epochs of the store; None where this node takes no part in recovery."""
+        """The epochs of the store; None if this controller takes no part in recovery."""
         return self._recovery.store_epochs if self._recovery is not None else None
 
     @property
     def is_writing_back(self) -> bool:
-        """Whether this term began with recovered state, all of it stored again or not."""
+        """Whether this term began with recovered state; stays true after all of it is stored again."""
         return self._write_back is not None
 
     def is_unsettled(self) -> bool:
-        """Whether jobs may still turn up that no record tells of."""
+        """Whether tasks without a record may still belong to an accepted job whose record was lost."""
         return self._recovery is not None and self._recovery.is_unsettled()
 
     def report_data_loss(self, reason: str, is_loss_older: bool = False) -> None:
-        """Report proof that the store lost data: revisions only grow, and only a leader moves jobs away."""
+        """Report proof that the store lost data: a key with a lower revision, though revisions only grow, or an open
+        job that is gone, though only a leader deletes open jobs. `is_loss_older` as in `StoreEpochs.report_loss`."""
         if self._recovery is not None:
             self._recovery.store_epochs.report_loss(reason, is_loss_older)
 
@@ -58,7 +59,7 @@
         on_open_jobs_stored: Callable[[], None],
         on_late_job: Callable[[str, Raw, Revision], None],
     ) -> None:
-        """Begin to store what the recovery collected. Callbacks as in `WriteBack`."""
+        """Begin to store the state that the recovery collected. The callbacks are those of `WriteBack`."""
         assert self._recovery is not None
         self._write_back = WriteBack(
             clock,
@@ -72,11 +73,11 @@
         self._write_back.begin()
 
     def on_stored(self, key: str) -> None:
-        """The key is in the store, or was deleted from it."""
+        """Record that the key is in the store, or was deleted from it."""
         if self._write_back is not None:
             self._write_back.on_stored(key)
 
     def stop(self) -> None:
-        """End the write-back; the next leader goes on with it."""
+        """Stop the write-back; the next leader continues it."""
         if self._write_back is not None:
             self._write_back.stop()
--- a/tests/leadership/test_ended_jobs.py
+++ b/tests/leadership/test_ended_jobs.py
@@ -1,4 +1,4 @@
-"""What a term knows of jobs that are over."""
+"""Which jobs count as ended in a term."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from meadowcross.common.types import Instant, JobId, Revision
 from meadowcross.leadership.ended_jobs import EndedJobs, UnconfirmedEnd
 
-SEEN, STORED, OPEN = JobId("wk-000001"), JobId("wk-000002"), JobId("wk-000003")
+PROCESSED, STORED, OPEN = JobId("wk-000001"), JobId("wk-000002"), JobId("wk-000003")
 
 
-def test_a_job_has_ended_by_what_was_seen_or_by_the_replica():
+def test_job_has_ended_according_to_the_term_or_the_replica():
     replica = {"e/wk-000002": object()}
-    ended = EndedJobs(SimpleNamespace(get=replica.get))
-    ended.add(SEEN)
-    assert [ended.has_ended(job) for job in (SEEN, STORED, OPEN)] == [True, True, False]
-    assert [ended.is_known(job) for job in (SEEN, STORED, OPEN)] == [True, False, False]
-
-
-def test_a_confirmed_end_stays_known():
-    ended = EndedJobs(None)
-    ended.add_unconfirmed(SEEN, Revision(7), Instant(3.0))
-    assert ended.unconfirmed == {SEEN: UnconfirmedEnd(Revision(7), Instant(3.0))}
-    ended.confirm(SEEN)
-    ended.confirm(OPEN)
-    assert ended.unconfirmed == {} and ended.has_ended(SEEN) and not ended.has_ended(OPEN)
+    ended_jobs = EndedJobs(SimpleNamespace(get=replica.get))
+    ended_jobs.add(PROCESSED)
+    assert [ended_jobs.has_ended(job) for job in (PROCESSED, STORED, OPEN)] == [True, True, False]
+    assert [ended_jobs.has_processed_end(job) for job in (PROCESSED, STORED, OPEN)] == [True, False, False]
+
+
+def test_job_with_a_confirmed_end_still_counts_as_ended():
+    ended_jobs = EndedJobs(None)
+    ended_jobs.add_unconfirmed(PROCESSED, Revision(7), Instant(3.0))
+    assert ended_jobs.unconfirmed == {PROCESSED: UnconfirmedEnd(Revision(7), Instant(3.0))}
+    ended_jobs.confirm(PROCESSED)
+    ended_jobs.confirm(OPEN)
+    assert ended_jobs.unconfirmed == {} and ended_jobs.has_ended(PROCESSED) and not ended_jobs.has_ended(OPEN)
--- a/tests/leadership/test_heartbeat_handler.py
+++ b/tests/leadership/test_heartbeat_handler.py
@@ -1,4 +1,4 @@
-"""Heartbeats before a term has loaded its state."""
+"""Responses to heartbeats that arrive before a term has loaded its state."""
 
 from __future__ import annotations
 
@@ -15,41 +15,43 @@
 from tests.support.world import job
 
 
-def heartbeat(token=1, standing="running"):
+def build_heartbeat(token=1, task_state="running"):
     fields = {"stall": "i-1", "addr": "10.0.0.1:9000", "build": "small", "field": "east", "stubble": False}
-    task = {"head": "wk-000001/0", "round": 1, "standing": standing}
+    task = {"head": "wk-000001/0", "round": 1, "standing": task_state}
     return decode_heartbeat(encode(fields | {"tenure": 1, "tally": 1, "crook": token, "heads": [task]}))
 
 
-def replica(cancelled_at):
+def build_replica(cancelled_at):
     record = {"spec": job(), "t": 1.0, "k": 256} | ({"c": cancelled_at} if cancelled_at is not None else {})
     item = SimpleNamespace(value=Raw(encode(record)))
     return SimpleNamespace(get={"j/wk-000001": item}.get)
 
 
 STOPS = [
-    # what the replica says of the cancel, whether a peer said so, what the task does, how many stops
-    ("nobody knows of a cancel", None, False, "running", 0),
-    ("by the replica", 5.0, False, "running", 1),
-    ("by a peer", None, True, "running", 1),
-    ("a task that has ended", 5.0, True, "ended", 0),
+    # time of the cancellation in the replica, whether a peer announced it, the task's state, number of stops
+    ("not cancelled", None, False, "running", 0),
+    ("cancelled in the replica", 5.0, False, "running", 1),
+    ("announced by a peer", None, True, "running", 1),
+    ("task has ended", 5.0, True, "ended", 0),
 ]
 
 
 @pytest.mark.parametrize(
-    ("cancelled_at", "announced", "standing", "count"), [row[1:] for row in STOPS], ids=[row[0] for row in STOPS]
+    ("cancelled_at", "is_announced", "task_state", "stop_count"),
+    [row[1:] for row in STOPS],
+    ids=[row[0] for row in STOPS],
 )
-def test_known_cancels_stop_tasks_before_the_state_is_loaded(cancelled_at, announced, standing, count):
-    cancellations = CancellationsBeforeLoad(replica(cancelled_at), lambda job_id: announced)
+def test_known_cancellations_stop_tasks_before_the_state_is_loaded(cancelled_at, is_announced, task_state, stop_count):
+    cancellations = CancellationsBeforeLoad(build_replica(cancelled_at), lambda job_id: is_announced)
     handler = HeartbeatHandler(build_state(Clock(), is_loaded=False), None, None, None, cancellations)
-    response = handler.handle(heartbeat(standing=standing))
+    response = handler.handle(build_heartbeat(task_state=task_state))
     assert response.token == 1
     assert [(c.op, c.task, c.attempt, c.grace_s) for c in response.commands] == [
         ("stop", "wk-000001/0", 1, 0.0)
-    ] * count
+    ] * stop_count
 
 
-def test_a_worker_that_has_seen_a_higher_token_is_not_answered():
+def test_worker_with_a_higher_token_gets_no_response():
     cancellations = CancellationsBeforeLoad(None, lambda job_id: False)
     handler = HeartbeatHandler(build_state(Clock(), is_loaded=False), None, None, None, cancellations)
-    assert handler.handle(heartbeat(token=2)) is None
+    assert handler.handle(build_heartbeat(token=2)) is None
--- a/tests/leadership/test_placement_writer.py
+++ b/tests/leadership/test_placement_writer.py
@@ -1,4 +1,4 @@
-"""Placements from their decision to their release."""
+"""Placements from their decision to their release, with a committer that only records writes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RecordingCommitter:
-    """Keeps what was to be written, by its identity."""
+    """Keeps the queued write factories by write id."""
 
     def __init__(self):
         self.writes = {}
@@ -22,7 +22,9 @@
         self.writes[write_id] = build
 
 
-class World:
+class WriterFixture:
+    """A placement writer, and one job with one placement that is not stored yet."""
+
     def __init__(self):
         self.state = build_state(Clock())
         self.committer = RecordingCommitter()
@@ -34,62 +36,63 @@
         self.placement = place_task(self.state, self.job, self.machine)
 
 
-def test_a_placement_may_start_once_it_is_stored():
-    world = World()
-    assert not world.writer.may_start(world.placement)
-    world.writer.on_placement_stored(world.placement)
-    assert world.placement.phase is PlacementPhase.STORED and world.writer.may_start(world.placement)
+def test_placement_may_start_once_it_is_stored():
+    fixture = WriterFixture()
+    assert not fixture.writer.may_start(fixture.placement)
+    fixture.writer.on_placement_stored(fixture.placement)
+    assert fixture.placement.phase is PlacementPhase.STORED and fixture.writer.may_start(fixture.placement)
 
 
-@pytest.mark.parametrize("change", ["cancelled", "over", "released"])
-def test_a_stored_placement_that_does_not_count_any_more_never_starts(change):
-    world = World()
-    world.writer.on_placement_stored(world.placement)
+@pytest.mark.parametrize("change", ["cancelled", "term ended", "released"])
+def test_stored_placement_never_starts_after_a_change(change):
+    fixture = WriterFixture()
+    fixture.writer.on_placement_stored(fixture.placement)
     if change == "cancelled":
-        world.job.cancelled_at = WallTime(1.0)
-    elif change == "over":
-        world.state.lifecycle.is_stopped = True
+        fixture.job.cancelled_at = WallTime(1.0)
+    elif change == "term ended":
+        fixture.state.lifecycle.is_stopped = True
     else:
-        world.state.job_table.release(world.placement)
-    assert not world.writer.may_start(world.placement)
+        fixture.state.job_table.release(fixture.placement)
+    assert not fixture.writer.may_start(fixture.placement)
 
 
-def test_a_start_that_was_not_sent_puts_its_task_back():
-    world = World()
-    waiting = world.job.waiting_count
-    world.writer.on_start_not_sent(world.placement)
-    assert world.job.waiting_count == waiting + 1 and world.machine.placements == {}
-    assert world.trigger.is_scheduled and any(write_id[0] == "chunk" for write_id in world.committer.writes)
+def test_start_that_was_not_sent_requeues_its_task():
+    fixture = WriterFixture()
+    waiting_count = fixture.job.waiting_count
+    fixture.writer.on_start_not_sent(fixture.placement)
+    assert fixture.job.waiting_count == waiting_count + 1 and fixture.machine.placements == {}
+    assert fixture.trigger.is_scheduled and any(write_id[0] == "chunk" for write_id in fixture.committer.writes)
 
 
-def test_a_start_that_may_have_been_sent_is_not_put_back():
-    world = World()
-    world.placement.phase = PlacementPhase.SENT
-    world.writer.on_start_not_sent(world.placement)
-    assert world.machine.placements == {world.placement.task: world.placement}
+def test_start_that_may_have_been_sent_keeps_its_placement():
+    fixture = WriterFixture()
+    fixture.placement.phase = PlacementPhase.SENT
+    fixture.writer.on_start_not_sent(fixture.placement)
+    assert fixture.machine.placements == {fixture.placement.task: fixture.placement}
 
 
-def test_a_shorter_grace_replaces_a_longer_one():
-    world = World()
-    world.writer.stop_task(world.placement, 10.0)
-    world.writer.stop_task(world.placement, 20.0)
-    assert world.placement.grace_s == 10.0
-    world.writer.stop_task(world.placement, 0.0)
-    assert world.placement.grace_s == 0.0
+def test_shorter_grace_time_replaces_a_longer_one():
+    fixture = WriterFixture()
+    fixture.writer.stop_task(fixture.placement, 10.0)
+    fixture.writer.stop_task(fixture.placement, 20.0)
+    assert fixture.placement.grace_s == 10.0
+    fixture.writer.stop_task(fixture.placement, 0.0)
+    assert fixture.placement.grace_s == 0.0
 
 
-def test_a_complete_job_is_moved_to_its_end_and_its_listeners_are_told_in_order():
-    world = World()
-    told = []
-    world.writer.set_listeners(
-        lambda heartbeat: None, [lambda job: told.append(("first", job.id)), lambda job: told.append(("next", job.id))]
+def test_completed_job_is_stored_as_ended_and_its_listeners_are_called_in_order():
+    fixture = WriterFixture()
+    notified = []
+    fixture.writer.set_listeners(
+        lambda heartbeat: None,
+        [lambda job: notified.append(("first", job.id)), lambda job: notified.append(("next", job.id))],
     )
-    while world.job.waiting_count:
-        place_task(world.state, world.job, world.machine)
-    for placement in list(world.job.placements.values()):
-        world.state.job_table.complete_task(placement)
-    world.writer.after_release(world.job)
-    write = world.committer.writes["end", world.job.id]()
+    while fixture.job.waiting_count:
+        place_task(fixture.state, fixture.job, fixture.machine)
+    for placement in list(fixture.job.placements.values()):
+        fixture.state.job_table.complete_task(placement)
+    fixture.writer.after_release(fixture.job)
+    write = fixture.committer.writes["end", fixture.job.id]()
     write.on_stored(9)
-    assert told == [("first", world.job.id), ("next", world.job.id)]
-    assert world.job.id not in world.state.job_table.jobs
+    assert notified == [("first", fixture.job.id), ("next", fixture.job.id)]
+    assert fixture.job.id not in fixture.state.job_table.jobs
