--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -17,11 +17,14 @@
     r"about (\S+) s, due after (\S+) s"
 )
 ENDED = re.compile(r"job (\S+) ended: (\w+)")
-RUNS = re.compile(r"task (\S+)/(\d+) runs on (\S+) after (\S+) s")
-DONE = re.compile(r"task (\S+)/(\d+) done on (\S+) after (\S+) s")
-GONE = re.compile(r"task (\S+)/(\d+) attempt (\d+) gone (?:from|with) ([^:\s]+)(?:: (.*))?")
+RUNS = re.compile(r"task (?:running task=)?(\S+)/(\d+) (?:runs on |machine=)(\S+) (?:after |elapsed_s=)(\S+)")
+DONE = re.compile(r"task (?:done task=)?(\S+)/(\d+) (?:done on |machine=)(\S+) (?:after |elapsed_s=)(\S+)")
+GONE = re.compile(
+    r"task (?:released (?:with its machine )?task=)?(\S+)/(\d+) attempt[ =](\d+) "
+    r"(?:gone from |gone with |machine=)([^:\s]+)(?:(?:: | reason=)(.*))?"
+)
 RENTED = re.compile(r"machine (\S+) rented: (\S+) in (\S+), (spot|ordinary)")
-FIRST = re.compile(r"machine (\S+) \((\S+)\) reports first")
+FIRST = re.compile(r"(?:first contact )?machine[ =](\S+) (?:\(|type=)([^\s)]+)(?:\) reports first)?$")
 DELETED = re.compile(r"deleted (.*)")
 CONDEMNED = re.compile(r"machine (\S+) condemned with (\d+) tasks: (.*)")
 
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -20,8 +20,14 @@
 
 LEADS = re.compile(r"leads with token (\d+)")
 OVER = re.compile(r"no longer leads with token (\d+)")
-PICTURE = re.compile(r"term (\d+): (\d+) open jobs, (\d+) machines, (\d+) placements")
-MILESTONE = re.compile(r"term (\d+): (first placement stored|first start sent|nine of ten machines answered)")
+PICTURE = re.compile(
+    r"(?:state loaded )?term[ =](\d+):? (?:jobs=)?(\d+) "
+    r"(?:open jobs, |machines=)(\d+) (?:machines, |placements=)(\d+)"
+)
+MILESTONE = re.compile(
+    r"(?:milestone reached )?term[ =](\d+):? (?:milestone=\")?"
+    r"(first placement stored|first start sent|nine of ten machines answered)"
+)
 BEFORE_S = 10.0
 """Starts of so long before the end are what is to be reached again."""
 LATELY_S = 2.0
--- a/meadowcross/leadership/autoscaler_host.py
+++ b/meadowcross/leadership/autoscaler_host.py
@@ -1,4 +1,4 @@
-"""What the autoscaler asks of a leader's term."""
+"""Connects the autoscaler to the leader's term that it works for."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class MachineRemoval:
-    """Takes a deleted machine and its tasks out of a term's state."""
+    """Removes deleted machines and their tasks from a term's state."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._pass_trigger = pass_trigger
 
     def on_machine_deleted(self, machine_id: MachineId) -> None:
-        """The cloud's delete of the machine answered 200: none of its tasks is left."""
+        """Remove a machine whose deletion the cloud confirmed with status 200, so that none of its tasks is left."""
         machine = self._worker_registry.machines.get(machine_id)
         last_contact_at = machine.contact.last_contact_at if machine is not None else None
         for placement in self._worker_registry.remove(machine_id):
@@ -61,7 +61,12 @@
         job = self._job_table.jobs.get(placement.task.job)
         if job is None:
             return
-        log.info("task %s attempt %d gone with %s", placement.task, placement.attempt, machine_id)
+        log.info(
+            "task released with its machine task=%s attempt=%d machine=%s",
+            placement.task,
+            placement.attempt,
+            machine_id,
+        )
         self._samples.gone(job, placement, False, last_contact_at, self._context.now)
         self._job_table.release(placement)
         job.last_loss_at = self._context.now
@@ -69,7 +74,7 @@
 
 
 class TermAutoscalerHost:
-    """A term as its autoscaler sees it."""
+    """The state and operations of a term that its autoscaler uses."""
 
     def __init__(
         self,
@@ -95,11 +100,11 @@
 
     @property
     def scheduling_view(self) -> SchedulingView:
-        """What there is to place, and on which machines."""
+        """The pending jobs, and the machines for them."""
         return self._scheduling_view
 
     def has_valid_lease(self) -> bool:
-        """Whether no other node can lead now."""
+        """Whether the leader lease is valid, so that no other controller can lead now."""
         return self._leadership.has_valid_lease()
 
     def add_machine(self, machine_id: MachineId, kind: MachineKind) -> Machine:
--- a/meadowcross/leadership/completion_forecaster.py
+++ b/meadowcross/leadership/completion_forecaster.py
@@ -1,7 +1,7 @@
 """Forecasts when open jobs will be done, for users' queries.
 
-The median comes from `estimates.finish`. How far such medians were off lately gives the interval around it, by stage:
-whether the job still waits for room, and its priority.
+`estimates.finish` computes the median. The interval around it follows from the errors of recent medians in the same
+stage: whether the job still waits for room, and its priority.
 """
 
 from __future__ import annotations
@@ -29,22 +29,22 @@
 log = get_logger("estimates")
 
 CAPACITY_PERIOD_S: Seconds = 4.0
-"""What all forecasts rest on is worked out at most this often, and only if somebody asks."""
+"""The capacity snapshot that all forecasts use is computed at most this often, and only for a query."""
 FORECAST_VALID_S: Seconds = 15.0
-"""A forecast is repeated for so long, less what has passed: users ask every five seconds or so, and each
-question once cost a tenth of what a task costs."""
+"""How long a forecast is repeated, less the time that has passed: users query about every five seconds, and each query
+without this cache took a tenth of the time that a task takes."""
 WAITING, PLACED = "waiting", "placed"
-FIRST_SAMPLE_S: Seconds = 2.0
-"""A job's first forecast is recorded for evaluation once it has been open for so long."""
+MIN_RECORDING_AGE_S: Seconds = 2.0
+"""A job's first forecast is recorded for evaluation once the job has been open for this time."""
 MIN_FORECAST_S: Seconds = 1.0
 MIN_FETCH_GB_PER_S = 0.01
-MAX_CACHED = 20_000
+MAX_CACHED_FORECASTS = 20_000
 MAX_FORECASTS_PER_PERIOD = 100
-"""In each `CAPACITY_PERIOD_S`; a query beyond that gets the last forecast, or none."""
+"""Limit for each `CAPACITY_PERIOD_S`; a query beyond it gets the job's last forecast, or none."""
 
 
 class _CachedForecast(NamedTuple):
-    """What was last forecast of a job."""
+    """The last forecast of a job."""
 
     forecast_at: Instant
     ends: Ends
@@ -53,7 +53,7 @@
 
 
 class _RecordedForecast(NamedTuple):
-    """A forecast that is compared with the job's end."""
+    """A forecast that is compared with the job's actual end."""
 
     forecast_at: Instant
     ends: Ends
@@ -61,7 +61,7 @@
 
 
 class _CapacitySnapshot:
-    """Which machines there are, and how much work is ahead of each waiting job."""
+    """The machines of each kind, and the work ahead of each waiting job, at one instant."""
 
     def __init__(
         self,
@@ -69,23 +69,23 @@
         scheduling_view: SchedulingView,
         worker_registry: WorkerRegistry,
         machine_types: list[MachineType],
-        expected_boot: Callable[[MachineType], Seconds],
-        may_rent: Callable[[MachineKind], bool],
+        expected_boot_s: Callable[[MachineType], Seconds],
+        may_create: Callable[[MachineKind], bool],
     ) -> None:
         self.taken_at = taken_at
         self.headroom = scheduling_view.quota_headroom()
         self.machines_up: Counter[MachineKind] = Counter()
-        self.boots_left_s: dict[MachineKind, Seconds] = {}
-        """Until the first machine of each kind that is booting is up."""
+        self.remaining_boot_s: dict[MachineKind, Seconds] = {}
+        """The time until the first booting machine of each kind is up."""
         self.machine_types = {t.name: t for t in machine_types}
-        self.expected_boot = expected_boot
-        self.rentable = [(kind, t) for kind, t in list_machine_kinds(machine_types) if may_rent(kind)]
-        """What would be rented for work that finds no room."""
+        self.expected_boot_s = expected_boot_s
+        self.creatable_kinds = [(kind, t) for kind, t in list_machine_kinds(machine_types) if may_create(kind)]
+        """The machine kinds that would be created for tasks without room."""
         cpus = self._count_machines(worker_registry)
-        self.wait_s = self._queue_times(scheduling_view, cpus)
+        self.queue_wait_s = self._compute_queue_waits(scheduling_view, cpus)
 
     def _count_machines(self, worker_registry: WorkerRegistry) -> float:
-        """Set `machines_up` and `boots_left_s`; returns the CPUs of all machines."""
+        """Set `machines_up` and `remaining_boot_s`; returns the CPUs of all machines in use."""
         cpus = 0.0
         for machine in worker_registry.machines.values():
             if machine.machine_type is None or machine.decommission_reason is not None:
@@ -94,14 +94,14 @@
             if machine.is_up:
                 self.machines_up[machine.kind] += 1
             else:
-                boot_s = self.expected_boot(machine.machine_type)
-                boot_left_s = max(0.0, boot_s - (self.taken_at - machine.rented_at))
-                self.boots_left_s[machine.kind] = min(boot_left_s, self.boots_left_s.get(machine.kind, boot_left_s))
+                boot_s = self.expected_boot_s(machine.machine_type)
+                left_s = max(0.0, boot_s - (self.taken_at - machine.rented_at))
+                self.remaining_boot_s[machine.kind] = min(left_s, self.remaining_boot_s.get(machine.kind, left_s))
         return cpus
 
     @staticmethod
-    def _queue_times(scheduling_view: SchedulingView, cpus: float) -> dict[JobId, Seconds]:
-        """How long the work ahead of each waiting job takes on all these CPUs."""
+    def _compute_queue_waits(scheduling_view: SchedulingView, cpus: float) -> dict[JobId, Seconds]:
+        """Returns how long the work ahead of each waiting job takes on this number of CPUs."""
         wait_s = {}
         cpu_seconds_ahead = 0.0
         for pending_job in sorted(scheduling_view.pending_jobs(), key=queue_order):
@@ -109,31 +109,31 @@
             cpu_seconds_ahead += pending_job.task_count * pending_job.spec.cpus * pending_job.expected_run_s
         return wait_s
 
-    def room_for(self, job: Job) -> tuple[int, Seconds]:
-        """How many of the job's tasks have room at once, and after how many seconds its waiting tasks' turn comes.
+    def estimate_start(self, job: Job) -> tuple[int, Seconds]:
+        """Returns how many of the job's tasks can run at once, and the seconds until its waiting tasks can start.
 
-        Machines are rented for what finds no room, so its turn comes after a boot at the latest, unless
-        the cloud has just refused all kinds that it may run on: then it waits for what is ahead."""
+        Machines are created for tasks without room, so these start after a boot at the latest. If the cloud has just
+        refused all machine kinds that the job may run on, they wait for the work ahead of the job."""
         spec = job.spec
         startable = sum(
             count * count_slots(spec, t.cpus, t.gpus, t.memory_gb)
             for kind, count in self.machines_up.items()
             if is_kind_allowed(spec, kind) and (t := self.machine_types.get(kind.type)) is not None
         )
-        turn_s = self.wait_s.get(job.id, 0.0)
-        boots_left_s = [left for kind, left in self.boots_left_s.items() if is_kind_allowed(spec, kind)]
-        rentable_boots_s = [
-            self.expected_boot(t)
-            for kind, t in self.rentable
+        wait_s = self.queue_wait_s.get(job.id, 0.0)
+        remaining_boots_s = [left_s for kind, left_s in self.remaining_boot_s.items() if is_kind_allowed(spec, kind)]
+        new_boots_s = [
+            self.expected_boot_s(t)
+            for kind, t in self.creatable_kinds
             if is_kind_allowed(spec, kind) and count_slots(spec, t.cpus, t.gpus, t.memory_gb) > 0
         ]
-        if rentable_boots_s:
-            return max(startable, spec.tasks), min(turn_s if startable else inf, *boots_left_s, *rentable_boots_s)
-        return startable, turn_s if startable or not boots_left_s else turn_s + min(boots_left_s)
+        if new_boots_s:
+            return max(startable, spec.tasks), min(wait_s if startable else inf, *remaining_boots_s, *new_boots_s)
+        return startable, wait_s if startable or not remaining_boots_s else wait_s + min(remaining_boots_s)
 
 
 class CompletionForecaster:
-    """Forecasts ends of jobs, and learns from how they compare with what came."""
+    """Forecasts the ends of jobs, and learns from their actual ends."""
 
     def __init__(
         self,
@@ -156,7 +156,7 @@
         self._forecasts_this_period = 0
         self._cache: dict[JobId, _CachedForecast] = {}
         self._raw_medians_s: dict[JobId, Seconds] = {}
-        """The last medians, before they were corrected by what was learned of earlier forecasts."""
+        """The last median of each job, before the correction that was learned from earlier forecasts."""
         self._pending_evaluations: dict[JobId, dict[str, _RecordedForecast]] = {}
         """The first forecast of each job in each stage."""
 
@@ -165,29 +165,32 @@
         return Instant(self._clock.seconds())
 
     def forecast(self, job_id: JobId) -> Ends | None:
-        """When the job will be done; None for one that is over, cancelled or a service."""
+        """Returns when the job will be done, in seconds from now.
+
+        None for a job that has ended, is cancelled or is a service, and beyond `MAX_FORECASTS_PER_PERIOD` for a job
+        without an earlier forecast."""
         job = self._job_table.jobs.get(job_id)
         if job is None or job.cancelled_at is not None or job.is_ending or job.spec.kind is JobKind.SERVICE:
             return None
         now = self._now
         cached = self._cache.get(job_id)
-        stage = self._stage(job)
+        stage = self._stage_of(job)
         if cached is None or now - cached.forecast_at >= FORECAST_VALID_S or cached.stage != stage:
             if self._is_capacity_outdated(now):
                 self._forecasts_this_period = 0
             if self._forecasts_this_period >= MAX_FORECASTS_PER_PERIOD:
-                return self._shifted(cached, now) if cached is not None else None
+                return self._shift_to_now(cached, now) if cached is not None else None
             self._forecasts_this_period += 1
-            if len(self._cache) > MAX_CACHED:
+            if len(self._cache) > MAX_CACHED_FORECASTS:
                 self._cache.clear()
-            cached = self._cache[job_id] = _CachedForecast(now, self._compute(job, stage, now), stage)
-        return self._shifted(cached, now)
+            cached = self._cache[job_id] = _CachedForecast(now, self._compute_ends(job, stage, now), stage)
+        return self._shift_to_now(cached, now)
 
     def _is_capacity_outdated(self, now: Instant) -> bool:
         return self._capacity is None or now - self._capacity.taken_at >= CAPACITY_PERIOD_S
 
     @staticmethod
-    def _shifted(cached: _CachedForecast, now: Instant) -> Ends:
+    def _shift_to_now(cached: _CachedForecast, now: Instant) -> Ends:
         passed_s = now - cached.forecast_at
         return Ends(*(max(0.0, seconds - passed_s) for seconds in cached.ends))
 
@@ -204,7 +207,7 @@
             )
         return capacity
 
-    def _compute(self, job: Job, stage: str, now: Instant) -> Ends:
+    def _compute_ends(self, job: Job, stage: str, now: Instant) -> Ends:
         capacity = self._current_capacity(now)
         spec = job.spec
         ran_s = [
@@ -212,7 +215,7 @@
             for p in job.placements.values()
             if p.phase in (PlacementPhase.RUNNING, PlacementPhase.CHECKPOINTING)
         ]
-        startable, turn_s = capacity.room_for(job)
+        startable, start_wait_s = capacity.estimate_start(job)
         headroom = capacity.headroom.get(spec.team)
         allowed_tasks = headroom.max_tasks(spec) if headroom is not None else job.waiting_count
         fetches_s = [spec.image_gb / max(t.fetch_gb_per_s, MIN_FETCH_GB_PER_S) for t in capacity.machine_types.values()]
@@ -221,7 +224,7 @@
             len(job.placements) - len(ran_s),
             ran_s,
             min(len(job.placements) + allowed_tasks, max(startable, len(job.placements))),
-            turn_s if job.waiting_count else 0.0,
+            start_wait_s if job.waiting_count else 0.0,
             min(fetches_s, default=0.0),
         )
         median_s = max(MIN_FORECAST_S, middle_of(remaining, self._learned.curve_of(spec), self._learned.alike(spec)))
@@ -229,25 +232,25 @@
         return Ends(*self._learned.foresee(stage, median_s))
 
     @staticmethod
-    def _stage(job: Job) -> str:
-        """By priority too: forecasts of what may be preempted are off in their own way."""
+    def _stage_of(job: Job) -> str:
+        """Returns the stage of the job. It contains the priority, as preemption causes errors of its own."""
         return f"{WAITING if job.waiting_count else PLACED}/{job.spec.priority.value}"
 
     def record_forecasts(self) -> None:
-        """Record the forecast of each job that has come to a new stage, to be compared with its end. Few jobs do so
-        between two calls."""
+        """Record the forecast of each job that has reached a new stage, for a comparison with its actual end. Few jobs
+        reach one between two calls."""
         now = self._now
         for job in list(self._job_table.jobs.values()):
-            stage = self._stage(job)
+            stage = self._stage_of(job)
             recorded = self._pending_evaluations.get(job.id)
-            if (recorded is None or stage not in recorded) and now - job.submitted_at >= FIRST_SAMPLE_S:
+            if (recorded is None or stage not in recorded) and now - job.submitted_at >= MIN_RECORDING_AGE_S:
                 ends = self.forecast(job.id)
                 if ends is not None:
                     recorded_forecast = _RecordedForecast(now, ends, self._raw_medians_s[job.id])
                     self._pending_evaluations.setdefault(job.id, {})[stage] = recorded_forecast
 
     def on_job_ended(self, job: Job) -> None:
-        """The job is over: learn from what was forecast of it, if it was done."""
+        """Learn from the recorded forecasts of a job that has ended, if all of its tasks are done."""
         self._cache.pop(job.id, None)
         self._raw_medians_s.pop(job.id, None)
         recorded = self._pending_evaluations.pop(job.id, {})
@@ -255,14 +258,14 @@
             return
         now = self._now
         for stage, (forecast_at, ends, raw_median_s) in recorded.items():
-            took_s = max(MIN_FORECAST_S, now - forecast_at)
+            actual_s = max(MIN_FORECAST_S, now - forecast_at)
             log.debug(
-                "job %s (%s) took %.1f s, said %.1f to %.1f, about %.1f",
+                "forecast evaluated job=%s stage=%s actual_s=%.1f low_s=%.1f high_s=%.1f median_s=%.1f",
                 job.id,
                 stage,
-                took_s,
+                actual_s,
                 ends.low,
                 ends.high,
                 ends.middle,
             )
-            self._learned.came(stage, raw_median_s, took_s)
+            self._learned.came(stage, raw_median_s, actual_s)
--- a/meadowcross/leadership/machine_status.py
+++ b/meadowcross/leadership/machine_status.py
@@ -1,4 +1,4 @@
-"""Takes in the status that a machine tells by a heartbeat or by its answer to commands."""
+"""Applies the status that a machine reports in a heartbeat or in a response to commands."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusCollaborators:
-    """Who is told of what a status shows."""
+    """The components that act on a status."""
 
     scheduling_view: SchedulingView
     machine_records: MachineRecords
@@ -34,7 +34,7 @@
 
 
 class MachineStatusHandler:
-    """Applies a status to the registry, and acts on what changed."""
+    """Applies a status to the worker registry, and acts on the changes."""
 
     def __init__(self, state: TermState, collaborators: StatusCollaborators) -> None:
         self._context = state.context
@@ -48,9 +48,10 @@
         self._pass_trigger = collaborators.pass_trigger
 
     def apply(self, heartbeat: Heartbeat) -> bool:
-        """Take in a status; whether it is the newest of its machine and proves something to this term.
-        Raises `StaleTokenError` where the worker has seen a higher token."""
-        # Runs once for each heartbeat: what was known before stays in local variables.
+        """Apply a status. Returns whether it is the newest of its machine and carries this term's token.
+
+        Raises `StaleTokenError` if the worker has seen a higher token."""
+        # Runs once for each heartbeat, so the previous values are kept in local variables only.
         machine = self._machine_records.add_machine(
             heartbeat.machine, MachineKind(heartbeat.machine_type, heartbeat.zone, heartbeat.spot)
         )
@@ -77,7 +78,7 @@
         for outcome in outcomes or ():
             self._task_outcomes.apply(machine, outcome)
         if has_just_confirmed:
-            self._verification.on_first_answer()
+            self._verification.on_first_response()
         if outcomes or has_just_confirmed:
             self._pass_trigger.schedule_pass()
         return outcomes is not None
@@ -85,12 +86,12 @@
     def _log_changes(self, machine: Machine, previous_incarnation: int, previous_reclaim_at: Instant | None) -> None:
         incarnation = machine.proof.heartbeat_version.incarnation
         if incarnation > previous_incarnation > 0:
-            log.info("machine %s began session %d", machine.id, incarnation)
+            log.info("worker restarted machine=%s incarnation=%d", machine.id, incarnation)
         if machine.reclaim_at is not None and previous_reclaim_at is None:
-            log.info("machine %s is taken back in %.0f s", machine.id, machine.reclaim_at - self._context.now)
+            log.info("eviction notice machine=%s remaining_s=%.0f", machine.id, machine.reclaim_at - self._context.now)
 
     def _on_first_contact(self, machine: Machine, previous_address: Address | None) -> None:
         if previous_address is None:
             self._autoscaler.on_machine_up(machine)
         # `benchmarks.day` reads this line.
-        log.info("machine %s (%s) reports first", machine.id, machine.kind.type)
+        log.info("first contact machine=%s type=%s", machine.id, machine.kind.type)
--- a/meadowcross/leadership/maintenance_loop.py
+++ b/meadowcross/leadership/maintenance_loop.py
@@ -1,4 +1,4 @@
-"""What a leader looks at twice a second, beside events."""
+"""Runs a leader's periodic maintenance twice a second, for conditions that no event reports."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
 
 TICK_S: Seconds = 0.5
 SUSPENSION_THRESHOLD_S: Seconds = 2.0
-"""Ticks further apart than this show that the process itself was suspended between them."""
+"""If two ticks are further apart than this, the process itself was suspended between them."""
 RUN_SAMPLING_PERIOD_S: Seconds = 4.0
 
 
 class EvictionPlanner:
-    """Empties machines that the cloud is about to take back."""
+    """Evicts tasks from machines that got an eviction notice."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self._runs = estimators.runs
 
     def evict_reclaimed(self) -> None:
-        """Stop tasks that must leave now, and give back machines that are empty."""
+        """Stop tasks that must leave their machine now, and decommission machines without tasks."""
         for machine in self._worker_registry.machines.values():
             if (
                 machine.reclaim_at is None
@@ -64,39 +64,41 @@
             ):
                 continue
             if not machine.placements:
-                self._autoscaler.decommission(machine, "to be taken back, and empty")
+                self._autoscaler.decommission(machine, "eviction notice, and no task left")
             evictions = plan_reclaim_evictions(machine, self._job_table, self._runs, self._context.now)
             for placement, grace_s in evictions:
                 self._placement_writer.stop_task(placement, grace_s)
 
 
 class LeadershipTransfer:
-    """Hands the leadership over where another node is reached by more workers."""
+    """Transfers the leadership when more workers reach a peer than this controller."""
 
     def __init__(
         self, state: TermState, scheduling_view: SchedulingView, best_peer_reach: Callable[[], int | None]
     ) -> None:
-        """`best_peer_reach`: how many workers report to the peer that is reached by most, if any peer tells."""
+        """`best_peer_reach` as in `Reachability.best_peer_reach`."""
         self._context = state.context
         self._scheduling_view = scheduling_view
         self._best_peer_reach = best_peer_reach
 
     def transfer_if_better_reached(self) -> None:
-        """Answers to commands renew no lease, so only heartbeats tell whether workers reach this node. A new leader
-        waits until its workers can have found it."""
+        """Begin a transfer if most workers don't reach this controller and another leader could do better.
+
+        Only heartbeats count, as responses to commands renew no worker lease. A new leader waits until its workers can
+        have found it."""
         context = self._context
         if context.now - context.started_at < context.settings.facts.workers.lease_s / 2:
             return
         reach = self._scheduling_view.measure_reach(self._best_peer_reach())
         if reach.is_better_elsewhere:
             context.leadership.begin_transfer(
-                f"{reach.reporting_machines} of {reach.known_machines} machines report, "
-                f"a peer hears {reach.most_heard_by_peer}"
+                f"{reach.reporting_machines} of {reach.known_machines} machines report here, "
+                f"best peer reach {reach.best_peer_reach}"
             )
 
 
 class RunSampler:
-    """Shows running tasks to the estimators, and records forecasts that are later compared with what came."""
+    """Samples running tasks for the estimators, and records forecasts for a later comparison with the actual ends."""
 
     def __init__(self, state: TermState, samples: Samples, forecaster: CompletionForecaster | None) -> None:
         self._context = state.context
@@ -106,7 +108,7 @@
         self._sampled_at = state.context.now
 
     def sample_if_due(self) -> None:
-        """Sample, but not more often than every `RUN_SAMPLING_PERIOD_S`."""
+        """Sample running tasks and record forecasts, at most once every `RUN_SAMPLING_PERIOD_S`."""
         now = self._context.now
         if now - self._sampled_at < RUN_SAMPLING_PERIOD_S:
             return
@@ -118,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceTasks:
-    """The components that are looked after at each tick, in this order."""
+    """The components that do their work at each tick, in this order."""
 
     transfer: LeadershipTransfer
     health: FailureTracker
@@ -131,7 +133,7 @@
 
 
 class MaintenanceLoop:
-    """Ticks from the time on that the state is loaded."""
+    """Runs the maintenance tasks every `TICK_S`, from the time when the state is loaded."""
 
     def __init__(
         self, state: TermState, scheduling_view: SchedulingView, tasks: MaintenanceTasks, pass_trigger: PassTrigger
@@ -140,34 +142,34 @@
         self._scheduling_view = scheduling_view
         self._tasks = tasks
         self._pass_trigger = pass_trigger
-        self._last_tick_at = self._descheduled_at = state.context.now
+        self._last_tick_at = self._last_descheduling_at = state.context.now
         self._ticker = LoopingCall(self.tick)
         self._ticker.clock = cast(IReactorTime, state.context.clock)
 
     def start(self) -> None:
-        """Tick now, and every `TICK_S` from now on."""
+        """Tick now, and then every `TICK_S`."""
         self._ticker.start(TICK_S)
 
     def stop(self) -> None:
-        """Tick no more."""
+        """Stop ticking."""
         if self._ticker.running:
             self._ticker.stop()
 
     def tick(self) -> None:
-        """Look after all that no event tells of."""
+        """Run the maintenance tasks, unless the process was suspended since the last tick."""
         was_suspended = self._context.now - self._last_tick_at > SUSPENSION_THRESHOLD_S
         self._last_tick_at = self._context.now
         if was_suspended:
-            # Nothing was heard while the process was suspended, whoever spoke; and whether this node still leads is
-            # asked before anything else rests on it.
-            log.info("this process was silent for a while")
+            # No message was received while the process was suspended, so machines only seem silent; and whether this
+            # controller still leads must be checked before any decision relies on it.
+            log.info("process was suspended")
             self._scheduling_view.on_resume()
             return
         try:
             self._run_tasks()
         except Exception:
-            # The next tick comes all the same.
-            log.exception("tick failed")
+            # A failed tick must not end the loop.
+            log.exception("maintenance tick failed")
 
     def _run_tasks(self) -> None:
         tasks = self._tasks
@@ -177,7 +179,7 @@
         tasks.evictions.evict_reclaimed()
         tasks.reconciler.settle_orphaned_jobs()
         tasks.run_sampler.sample_if_due()
-        if self._context.now - self._descheduled_at >= self._context.operator.move_period_s:
-            self._descheduled_at = self._context.now
+        if self._context.now - self._last_descheduling_at >= self._context.operator_settings.move_period_s:
+            self._last_descheduling_at = self._context.now
             tasks.scheduling_loop.deschedule_replicas()
         self._pass_trigger.schedule_pass()
--- a/meadowcross/leadership/pass_trigger.py
+++ b/meadowcross/leadership/pass_trigger.py
@@ -1,4 +1,4 @@
-"""Requests for placement passes, which are delayed and merged into one."""
+"""Delays requests for placement passes and merges them into one pass."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 MIN_PASS_DELAY_S: Seconds = 0.02
 PASS_PAUSE_RATIO = 5.0
-"""The pause before a pass, as a multiple of what the last pass took: heartbeats and users are served in between."""
+"""The pause before a pass, as a multiple of the last pass's duration: heartbeats and users are served in between."""
 
 
 class PassTrigger:
-    """Runs a pass soon after it was asked for. Components ask here, so that none of them needs the scheduling loop."""
+    """Runs a pass soon after a request. Components send requests here, so that none depends on the scheduling loop."""
 
     def __init__(self, context: TermContext, lifecycle: TermLifecycle) -> None:
         self._clock = context.clock
         self._lifecycle = lifecycle
         self._run_pass: Callable[[], None] = lambda: None
         self.is_scheduled = False
-        """Whether a pass is due; further requests change nothing until it has begun."""
+        """Whether a pass is due; further requests are ignored until it has begun."""
         self.last_pass_s: Seconds = 0.0
 
     def set_runner(self, run_pass: Callable[[], None]) -> None:
-        """Set what runs a pass; it resets `is_scheduled` and sets `last_pass_s`."""
+        """Set the function that runs a pass; it resets `is_scheduled` and sets `last_pass_s`."""
         self._run_pass = run_pass
 
     def schedule_pass(self) -> None:
--- a/meadowcross/leadership/reachability.py
+++ b/meadowcross/leadership/reachability.py
@@ -1,8 +1,8 @@
-"""Whether a leader should transfer its place to a node that workers can reach.
+"""Decides whether a leader should transfer the leadership to a controller that more workers can reach.
 
-A leader whose lease lives but whom most workers can't reach is worse than none: their leases run out, and machines that
-are well look silent to it. The peers' heartbeats only hint that another is placed better; who leads is still decided by
-the store's key alone.
+A leader with a valid lease that most workers can't reach is worse than none: worker leases expire, and healthy machines
+seem silent. Peer heartbeats are only a hint that another controller is reached better; the leader key in the store
+alone decides which controller leads.
 """
 
 from __future__ import annotations
@@ -11,21 +11,22 @@
 
 
 class Reachability(NamedTuple):
-    """How many workers reach this node, and the best of its peers."""
+    """How many workers reach this controller, and how many reach the best of its peers."""
 
     known_machines: int
     """Machines in use."""
     reporting_machines: int
-    """Those of them that reported to us within the window."""
-    most_heard_by_peer: int | None
-    """The most that a peer heard; None: no peer was heard lately."""
+    """Machines in use whose heartbeats arrived here within the contact window."""
+    best_peer_reach: int | None
+    """Workers that report to the peer that most workers reach; None if no peer heartbeat arrived lately."""
 
     @property
     def is_better_elsewhere(self) -> bool:
-        """Most workers don't reach us, and more reach a peer, or peers don't reach us either.
+        """Whether most workers don't reach this controller, and either more of them reach a peer or no peer heartbeat
+        arrives here.
 
-        Machines that are silent for everyone are no reason: another leader could do no better.
+        Machines that reach no controller are no reason for a transfer: another leader could do no better.
         """
         if self.reporting_machines * 2 >= self.known_machines:
             return False
-        return self.most_heard_by_peer is None or self.most_heard_by_peer > self.reporting_machines
+        return self.best_peer_reach is None or self.best_peer_reach > self.reporting_machines
--- a/meadowcross/leadership/run_time_estimators.py
+++ b/meadowcross/leadership/run_time_estimators.py
@@ -1,4 +1,4 @@
-"""Which estimators of run times a term uses."""
+"""Chooses the run time estimators of a term."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 LEARN_ONLY = 1
 """From this value of `learned_estimates` on, run times are learned."""
 LEARN_AND_USE = 2
-"""From this value on, what is learned decides placement."""
+"""From this value of `learned_estimates` on, placement decisions use learned run times."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,28 +26,28 @@
     """The estimators of a term."""
 
     runs: Runs
-    """The one that decisions rest on."""
+    """The estimator that decisions use."""
     samples: Samples
-    """Hands what is seen of runs to all that learn."""
+    """Passes observed runs to all estimators that learn."""
     learned: Learned | None = None
     keeper: EstimateKeeper | None = None
-    """Stores what is learned."""
+    """Stores the learned run times; None where none are learned."""
 
     @property
     def means(self) -> MeanRuns | None:
-        """The mean-based estimator, where decisions rest on it."""
+        """The mean-based estimator if decisions use it, else None."""
         return self.runs if isinstance(self.runs, MeanRuns) else None
 
 
 def build_estimators(
     context: TermContext, store: StoreClient, reread_keys: Callable[[list[str]], Awaitable[None]]
 ) -> RunTimeEstimators:
-    """Choose the estimators by the operators' settings. `reread_keys` as in `GroupCommitter`."""
-    level = context.operator.learned_estimates
+    """Choose the estimators by the operators' settings. `reread_keys` is that of `GroupCommitter`."""
+    level = context.operator_settings.learned_estimates
     if level < LEARN_ONLY:
         means = MeanRuns()
         return RunTimeEstimators(means, Samples([means]))
-    # Imported by a leader only: a node that was killed is back sooner without them.
+    # Imported only by a leader that learns run times: a killed controller restarts faster without these imports.
     from meadowcross.estimates.keeper import EstimateKeeper  # noqa: PLC0415 - start-up time
     from meadowcross.estimates.learned import Learned  # noqa: PLC0415 - start-up time
 
--- a/meadowcross/leadership/scheduling_loop.py
+++ b/meadowcross/leadership/scheduling_loop.py
@@ -1,4 +1,4 @@
-"""Placement passes: what waits is placed, and lower priority makes room for it."""
+"""Runs placement passes, which place waiting tasks and preempt tasks of lower priority for them."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 log = get_logger("leadership")
 
-WARM_RETRY_S: Seconds = 0.1
-"""Jobs that wait for a machine with their image are looked at again after this time: soon any room is good enough."""
+CACHED_IMAGE_RETRY_S: Seconds = 0.1
+"""Delay until the next pass for jobs that wait for a machine with their image: soon they may start on any machine."""
 STORE_FAILURE_TOLERANCE_S: Seconds = 1.0
-"""Nothing is placed once the store has failed for longer: placements could not be stored."""
+"""No pass runs once the store has failed for longer than this: placements could not be stored."""
 
 
 class SchedulingLoop:
-    """Runs placement passes, and moves replicas to better machines."""
+    """Runs placement passes, and moves service replicas to better machines."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self._pass_trigger = pass_trigger
 
     def run_pass(self) -> None:
-        """Place what can be placed now, and store what changed."""
+        """Place the tasks that can be placed now, and store the changes."""
         self._pass_trigger.is_scheduled = False
         if self._lifecycle.is_stopped or not self._context.list_machine_types() or self._is_store_failing():
             return
@@ -72,21 +72,21 @@
             self._scheduling_view.candidates(),
             pending_jobs,
             headroom_by_team,
-            self._context.operator,
+            self._context.operator_settings,
             self._preemption.reservations,
         )
         self.apply_decisions(decisions)
         placed_counts = {decision.job_id: len(decision.machines) for decision in decisions}
         for job_id, victims in self._plan_preemption(pending_jobs, placed_counts, headroom_by_team, started_at):
-            log.info("job %s: %d tasks give way", job_id, len(victims))
+            log.info("preempting tasks job=%s count=%d", job_id, len(victims))
             for victim in victims:
                 if isinstance(victim.task_key, Placement):
                     self._placement_writer.stop_task(victim.task_key, victim.grace_s)
         if any(pending_job.requires_cached_image for pending_job in pending_jobs):
-            self._context.clock.callLater(WARM_RETRY_S, self._pass_trigger.schedule_pass)
+            self._context.clock.callLater(CACHED_IMAGE_RETRY_S, self._pass_trigger.schedule_pass)
 
     def apply_decisions(self, decisions: list[Decision]) -> None:
-        """Record placements, which are stored before they are started."""
+        """Record the decided placements; each is stored before its start is sent."""
         now = self._context.now
         for decision in decisions:
             job = self._job_table.jobs[decision.job_id]
@@ -113,17 +113,17 @@
         )
 
     def deschedule_replicas(self) -> None:
-        """Stop replicas of services that would run better elsewhere."""
+        """Stop service replicas that would run better on other machines."""
         view = self._scheduling_view
         replicas = view.movable_replicas()
         if not replicas:
             return
         for replica in select_replicas_to_move(
-            view.all_candidates(), replicas, view.cpu_utilization(), self._context.operator
+            view.all_candidates(), replicas, view.cpu_utilization(), self._context.operator_settings
         ):
             placement = replica.key
             if isinstance(placement, Placement):
-                # It waits again, and the score places it, once this copy is proven gone.
-                log.info("task %s moves off %s", placement.task, placement.machine)
+                # Once this copy is proven to have ended, the replica waits again and is placed by score.
+                log.info("moving service replica task=%s machine=%s", placement.task, placement.machine)
                 spec = self._job_table.jobs[placement.task.job].spec
                 self._placement_writer.stop_task(placement, spec.checkpoint_save_s)
--- a/meadowcross/leadership/task_outcomes.py
+++ b/meadowcross/leadership/task_outcomes.py
@@ -1,4 +1,4 @@
-"""Acts on what a heartbeat proved of placements."""
+"""Acts on the changes of placements that a heartbeat or a command response proves."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 log = get_logger("leadership")
 
-UNHEALTHY_REASON = "it failed what fares well elsewhere"
+UNHEALTHY_REASON = "it fails tasks that succeed on other machines"
 NO_ROOM_PAUSE_S: Seconds = 0.5
-"""For so long nothing of a job is placed after a machine had no room for it."""
+"""How long no task of a job is placed after a machine had no room for one."""
 
 
 class TaskOutcomeHandler:
-    """Completes and releases placements, and learns from how they ended."""
+    """Completes and releases placements, and records their run times and failures."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self._decommissioner = decommissioner
 
     def apply(self, machine: Machine, outcome: TaskOutcome) -> None:
-        """Take in what the machine's newest status proved of one placement."""
+        """Apply the change of one placement that the machine's newest status proves."""
         placement = outcome.placement
         job = self._job_table.jobs.get(placement.task.job)
         if job is None:
@@ -50,7 +50,7 @@
         if outcome.change is TaskChange.RUNNING:
             machine.images.record(job.spec.image)
             log.debug(
-                "task %s runs on %s after %.2f s",
+                "task running task=%s machine=%s elapsed_s=%.2f",
                 placement.task,
                 machine.id,
                 self._context.now - placement.placed_at,
@@ -68,7 +68,9 @@
     def _complete(self, machine: Machine, job: Job, placement: Placement) -> None:
         now = self._context.now
         if placement.running_at is not None:
-            log.debug("task %s done on %s after %.2f s", placement.task, machine.id, now - placement.running_at)
+            log.debug(
+                "task done task=%s machine=%s elapsed_s=%.2f", placement.task, machine.id, now - placement.running_at
+            )
         is_healthy = not self._health.is_quarantined(machine.id)
         where = Where(machine.id, machine.kind.type, is_healthy, machine.contact.silence_ended_at)
         self._samples.done(job, placement, where, now)
@@ -79,7 +81,11 @@
     def _release(self, machine: Machine, job: Job, outcome: TaskOutcome) -> None:
         placement, now = outcome.placement, self._context.now
         log.info(
-            "task %s attempt %d gone from %s: %s", placement.task, placement.attempt, machine.id, outcome.exit_reason
+            "task released task=%s attempt=%d machine=%s reason=%s",
+            placement.task,
+            placement.attempt,
+            machine.id,
+            outcome.exit_reason,
         )
         self._samples.gone(job, placement, outcome.has_saved_progress, None, now)
         self._job_table.release(placement)
--- a/meadowcross/leadership/term.py
+++ b/meadowcross/leadership/term.py
@@ -1,6 +1,6 @@
-"""A leader's term: builds its components, starts them, and ends them.
+"""Builds, starts and stops the components of one leader term.
 
-Everything here is thrown away when the term ends; only the store is kept.
+The whole state of a term is discarded when the term ends; only the store persists.
 """
 
 from __future__ import annotations
@@ -74,11 +74,12 @@
 
 LOAD_RETRY_S: Seconds = 0.3
 ESTIMATES_DELAY_S: Seconds = 3.0
-"""The first seconds of a term belong to the workers, the first placements and the users."""
+"""Delay before stored estimates are loaded: the first seconds of a term are reserved for workers, the first placements
+and users' requests."""
 
 
 class LeaderTerm:
-    """One term of one leader."""
+    """One term of this controller as the leader."""
 
     def __init__(
         self,
@@ -99,9 +100,11 @@
         is_cancel_announced: Callable[[JobId], bool] = lambda _job: False,
         relay_pool: RelayPool | None = None,
     ) -> None:
-        """`is_cold_start`: no node knows what was before, so only the machines can tell whether the store still does.
-        `is_cancel_announced`: whether a peer has said that a job's cancel is stored. `relay_pool`: who answers workers
-        for this leader."""
+        """Build the components; none of them runs before `start`.
+
+        `is_cold_start`: no controller knows the previous state, so only the machines can show whether the store still
+        holds it. `is_cancel_announced`: whether a peer announced that a job's cancellation is stored. `relay_pool`: the
+        relays that respond to heartbeats for this leader."""
         self.token = token
         self.relay_pool = relay_pool
         self.hints = hints
@@ -159,7 +162,7 @@
             self.health,
             self.estimators.runs,
         )
-        self.preemption = PreemptionPlanner(self.context.operator)
+        self.preemption = PreemptionPlanner(self.context.operator_settings)
         self.verification = MachineVerification(self.state, self.recovery, self.pass_trigger)
         relay_pool = self.relay_pool
         self.placement_writer = PlacementWriter(
@@ -195,7 +198,7 @@
         )
         context = self.context
         self.autoscaler = Autoscaler(
-            context.clock, context.settings, context.operator, cloud, context.list_machine_types, host
+            context.clock, context.settings, context.operator_settings, cloud, context.list_machine_types, host
         )
         self.decommissioner = MachineDecommissioner(self.worker_registry, self.autoscaler)
         self.forecaster = self._build_forecaster()
@@ -203,7 +206,7 @@
     def _build_forecaster(self) -> CompletionForecaster | None:
         if self.estimators.learned is None:
             return None
-        # Imported by a leader only, where run times are learned: a node that was killed is back sooner without it.
+        # Imported only by a leader that learns run times: a killed controller restarts faster without this import.
         from meadowcross.leadership.completion_forecaster import (  # noqa: PLC0415 - start-up time
             CompletionForecaster,
         )
@@ -325,16 +328,16 @@
 
     @property
     def stopped(self) -> bool:
-        """Whether the term is over."""
+        """Whether the term has ended."""
         return self.lifecycle.is_stopped
 
     def start(self) -> None:
-        """Load the state, and go on from there until `stop`."""
+        """Load the stored state, then run the term until `stop` is called."""
         for coroutine in (self._run(), self.group_committer.run()):
             Deferred.fromCoroutine(coroutine).addErrback(self._on_crash)
 
     def stop(self) -> None:
-        """End the term; nothing is sent or stored any more."""
+        """End the term; nothing is sent or stored afterwards."""
         if self.lifecycle.is_stopped:
             return
         self.lifecycle.is_stopped = True
@@ -349,7 +352,7 @@
             self._follower.end_leading()
 
     def _on_crash(self, failure: Any) -> None:
-        log.error("term %d failed: %s", self.token, failure.getTraceback())
+        log.error("term failed term=%d error=%s", self.token, failure.getTraceback())
         self.context.leadership.step_down("internal error")
 
     async def _run(self) -> None:
@@ -375,33 +378,35 @@
             try:
                 return await self.state_loader.load()
             except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
-                log.info("loading waits: %s", error)
+                log.info("loading the stored state failed, retrying error=%s", error)
                 await pause(self.context.clock, LOAD_RETRY_S)
         return None
 
     def _begin_verification(self) -> None:
-        """Find out what runs that no record tells of, where records may be lost."""
+        """Where records may be lost, require the machines to report their tasks before anything is placed."""
         merged = self.state_reader.merged_state
         machines = self.worker_registry.machines.values()
         if merged is not None:
             self._begin_write_back(merged)
         elif self._is_cold_start and self.recovery.collector is not None:
-            # All nodes ended. If the store lost its last minutes meanwhile, a machine runs what no record tells of.
-            self.verification.require_answers(m.id for m in machines if m.address is not None)
+            # All controllers were down. If the store lost its last minutes meanwhile, machines run orphaned tasks.
+            self.verification.require_confirmations(m.id for m in machines if m.address is not None)
 
     def _begin_write_back(self, merged: MergedState) -> None:
-        """Store again what was recovered. Until every machine has answered, or is proven deleted, one of those whose
-        records were lost may run anything: then nothing is placed. A leader's own replica lacks nothing."""
+        """Store the recovered state again.
+
+        Where records are missing from it, a machine may run any task, so nothing is placed until every machine has
+        confirmed the token or is proven deleted. A state that came from the leader's own replica is complete."""
         if not merged.is_complete:
             self.verification.require_cloud_list()
-            self.verification.require_answers(self.worker_registry.machines)
+            self.verification.require_confirmations(self.worker_registry.machines)
             for job in self.job_table.jobs.values():
-                # Above whatever was tried in the part that is lost.
+                # Higher than any attempt in the lost part of the records.
                 job.attempts = [attempt + LOST_ATTEMPTS_MARGIN for attempt in job.attempts]
             count = self.verification.unverified_count
-            log.info("term %d: %d machines may run what no record tells of", self.token, count)
+            log.info("verifying machines that may run orphaned tasks term=%d machines=%d", self.token, count)
         for machine in self.worker_registry.machines.values():
-            # On record with all who followed: it may be scheduled on before its key is back.
+            # Every controller that followed the store has the record: tasks may be placed before its key is restored.
             machine.is_stored = True
         self.recovery.begin_write_back(
             self.context.clock,
@@ -416,23 +421,24 @@
         machines = self.worker_registry.machines
         # `benchmarks.takeover` reads this line.
         log.info(
-            "term %d: %d open jobs, %d machines, %d placements, %s, %s",
+            "state loaded term=%d jobs=%d machines=%d placements=%d replica=%s hints=%s",
             self.token,
             len(self.job_table.jobs),
             len(machines),
             sum(len(machine.placements) for machine in machines.values()),
             "followed" if self.state_reader.was_replica_followed else "read",
-            "with hints" if self.hints is not None else "without hints",
+            "applied" if self.hints is not None else "none",
         )
 
     def _probe_machines(self) -> None:
-        """First where work that waits may go, then where most is about to end."""
-        with_free_cpu = self.worker_registry.machines_with_free_cpu
+        """Probe the machines with free CPUs first, where waiting tasks can be placed, then those with the most
+        placements, where the most tasks are about to end."""
+        machines_with_free_cpu = self.worker_registry.machines_with_free_cpu
         reachable = sorted(
             (machine for machine in self.worker_registry.machines.values() if machine.address is not None),
-            key=lambda machine: (machine.id not in with_free_cpu, -len(machine.placements), machine.id),
+            key=lambda machine: (machine.id not in machines_with_free_cpu, -len(machine.placements), machine.id),
         )
-        self.verification.await_answers(len(reachable))
+        self.verification.expect_responses(len(reachable))
         for machine in reachable:
             self.placement_writer.dispatcher.probe(machine.id)
 
@@ -446,14 +452,14 @@
         """See `HeartbeatHandler.is_settled`."""
         return self.heartbeat_handler.is_settled(heartbeat)
 
-    def apply_announced_cancellations(self, announced: CancellationNotice) -> bool:
+    def apply_announced_cancellations(self, notice: CancellationNotice) -> bool:
         """See `CancellationTracker.apply_announced`."""
-        return self.cancellation_tracker.apply_announced(announced)
+        return self.cancellation_tracker.apply_announced(notice)
 
     def export_hints(self) -> Hints | None:
         """See `HintExchange.export`."""
         return self.hint_exchange.export()
 
-    def forecast(self, job: JobId) -> Ends | None:
-        """When the job will be done, where that is learned."""
-        return self.forecaster.forecast(job) if self.forecaster is not None and self.loaded else None
+    def forecast(self, job_id: JobId) -> Ends | None:
+        """Returns when the job will be done; None before the state is loaded, or where run times are not learned."""
+        return self.forecaster.forecast(job_id) if self.forecaster is not None and self.loaded else None
--- a/meadowcross/leadership/term_context.py
+++ b/meadowcross/leadership/term_context.py
@@ -1,6 +1,6 @@
-"""What all components of a leader's term share: its constants, its life cycle, and the tables of jobs and workers.
+"""State that all components of a leader term share: its constants, its lifecycle, and the tables of jobs and workers.
 
-All of it is used on the reactor's thread only.
+All of it is used on the reactor thread only.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 
 
 class Leadership(Protocol):
-    """What a term asks of the election that it was begun by."""
+    """The operations of the election that its term uses."""
 
     def has_valid_lease(self) -> bool:
-        """Whether no other node can lead now."""
+        """Whether the leader lease is valid, so that no other controller can lead now."""
 
     def step_down(self, reason: str) -> None:
-        """End this term."""
+        """Give up the leadership, which ends this term."""
 
     def begin_transfer(self, reason: str) -> None:
-        """Hand the leadership to a peer, if one is ready."""
+        """Transfer the leadership to a peer, if a peer is ready."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,11 +41,11 @@
     clock: Clock
     token: FencingToken
     settings: Settings
-    operator: OperatorSettings
+    operator_settings: OperatorSettings
     leadership: Leadership
     list_machine_types: Callable[[], list[MachineType]]
     leader_condition: Condition
-    """Carried by each transaction: the leader's key is still the one that this term was elected with."""
+    """A condition of each transaction: the leader key has not changed since this term's election."""
     started_at: Instant
 
     @property
@@ -55,7 +55,7 @@
 
 
 class TermLifecycle:
-    """Whether a term has loaded the stored state, and whether it is over."""
+    """Whether a term has loaded the stored state, and whether it has ended."""
 
     def __init__(self, context: TermContext) -> None:
         self._context = context
@@ -65,20 +65,26 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether the state is loaded and the term is not over."""
+        """Whether the state is loaded and the term has not ended."""
         return self.is_loaded and not self.is_stopped
 
     def log_milestone(self, milestone: str) -> None:
-        """Log, once, how long after the election this step was reached. `benchmarks.takeover` reads these lines."""
+        """Log the time from the election to this milestone, the first time that it is reached. `benchmarks.takeover`
+        reads these lines."""
         if milestone not in self._logged_milestones:
             self._logged_milestones.add(milestone)
             context = self._context
-            log.info("term %d: %s after %.3f s", context.token, milestone, context.now - context.started_at)
+            log.info(
+                'milestone reached term=%d milestone="%s" elapsed_s=%.3f',
+                context.token,
+                milestone,
+                context.now - context.started_at,
+            )
 
 
 @dataclass(frozen=True, slots=True)
 class TermState:
-    """The objects that nearly every component of a term reads or changes."""
+    """The objects that most components of a term read or change."""
 
     context: TermContext
     lifecycle: TermLifecycle
@@ -86,7 +92,7 @@
     worker_registry: WorkerRegistry
 
     def is_current_placement(self, key: object) -> bool:
-        """Whether this is a placement that still counts: not completed, not released."""
+        """Whether `key` is a placement that is neither completed nor released."""
         if not isinstance(key, Placement):
             return False
         job = self.job_table.jobs.get(key.task.job)
--- a/tests/benchmarks/test_benchmarks.py
+++ b/tests/benchmarks/test_benchmarks.py
@@ -35,15 +35,15 @@
     "0.5 n0 " + ACCEPTED.format("000001", "normal", 8, 60),
     "1.0 n0 D n0 fleet: machine i-1 rented: small in east, spot",
     "1.0 n0 D n0 fleet: machine i-2 rented: small in east, spot",
-    "11.0 n0 I n0 leadership: machine i-1 (small) reports first",
+    "11.0 n0 I n0 leadership: first contact machine=i-1 type=small",
     "a line of something else",
-    *(f"12.0 n0 D n0 leadership: task wk-000001/{n} runs on i-1 after 0.30 s" for n in range(4)),
-    "15.0 n0 I n0 leadership: task wk-000001/3 attempt 1 gone from i-1: stopped",
-    *(f"42.0 n0 D n0 leadership: task wk-000001/{n} done on i-1 after 30.00 s" for n in range(3)),
-    *(f"43.0 n0 D n0 leadership: task wk-000001/{n} runs on i-1 after 0.30 s" for n in range(3, 7)),
-    *(f"73.0 n0 D n0 leadership: task wk-000001/{n} done on i-1 after 30.00 s" for n in range(3, 7)),
-    "73.1 n0 D n0 leadership: task wk-000001/7 runs on i-1 after 0.30 s",
-    "103.1 n0 D n0 leadership: task wk-000001/7 done on i-1 after 30.00 s",
+    *(f"12.0 n0 D n0 leadership: task running task=wk-000001/{n} machine=i-1 elapsed_s=0.30" for n in range(4)),
+    "15.0 n0 I n0 leadership: task released task=wk-000001/3 attempt=1 machine=i-1 reason=stopped",
+    *(f"42.0 n0 D n0 leadership: task done task=wk-000001/{n} machine=i-1 elapsed_s=30.00" for n in range(3)),
+    *(f"43.0 n0 D n0 leadership: task running task=wk-000001/{n} machine=i-1 elapsed_s=0.30" for n in range(3, 7)),
+    *(f"73.0 n0 D n0 leadership: task done task=wk-000001/{n} machine=i-1 elapsed_s=30.00" for n in range(3, 7)),
+    "73.1 n0 D n0 leadership: task running task=wk-000001/7 machine=i-1 elapsed_s=0.30",
+    "103.1 n0 D n0 leadership: task done task=wk-000001/7 machine=i-1 elapsed_s=30.00",
     "103.2 n0 I n0 jobs: job wk-000001 ended: done, 103 s after its submission, due after 60 s",
     "111.0 n0 I n0 fleet: machine i-1 condemned with 0 tasks: idle for 7 s",
     "111.0 n0 I n0 fleet: deleted i-1, i-2",
@@ -89,6 +89,7 @@
 )
 def test_jobs_in_time_are_bounded_by_capacity_limits_and_the_longest_task(due, tasks, limit, share):
     lines = [ACCEPTED.format("000001", "normal", tasks, due)]
+    # Lines of earlier versions are read as well.
     lines += ["D n0 leadership: task wk-000001/0 done on i-1 after 30.00 s"]
     day = read(["0.5 n0 " + lines[0], "103.1 n0 " + lines[1]])
     free = [0.0] * 2 + [8.0] * 30
@@ -164,7 +165,7 @@
 
 def test_takeovers_are_read_back_step_by_step(tmp_path, capsys):
     def runs(at, number, node="n0"):
-        return f"{at} {node} D {node} leadership: task wk-000001/{number} runs on i-1 after 0.30 s"
+        return f"{at} {node} D {node} leadership: task running task=wk-000001/{number} machine=i-1 elapsed_s=0.30"
 
     lines = [
         "0.1 n0 " + ACCEPTED.format("000001", "normal", 80, 60),
@@ -172,13 +173,13 @@
         *(runs(1.0 + number / 4, number) for number in range(40)),
         "11.0 n1 D n1 jobs: a node that follows",
         "13.0 n1 I n1 leadership: leads with token 9",
-        "13.1 n1 I n1 leadership: term 9: 1 open jobs, 5 machines, 40 placements",
+        "13.1 n1 I n1 leadership: state loaded term=9 jobs=1 machines=5 placements=40 replica=read hints=none",
         *(runs(13.2, number, "n1") for number in range(40)),
-        "13.3 n1 I n1 leadership: term 9: first placement stored after 0.3 s",
-        "13.4 n1 I n1 leadership: term 9: first start sent after 0.4 s",
-        "13.5 n1 I n1 leadership: term 9: nine of ten machines answered after 0.5 s",
+        '13.3 n1 I n1 leadership: milestone reached term=9 milestone="first placement stored" elapsed_s=0.300',
+        '13.4 n1 I n1 leadership: milestone reached term=9 milestone="first start sent" elapsed_s=0.400',
+        '13.5 n1 I n1 leadership: milestone reached term=9 milestone="nine of ten machines answered" elapsed_s=0.500',
         *(runs(14.0 + number / 8, 40 + number, "n1") for number in range(40)),
-        *(f"30.0 n1 D n1 leadership: task wk-000001/{n} done on i-1 after 9.00 s" for n in range(80)),
+        *(f"30.0 n1 D n1 leadership: task done task=wk-000001/{n} machine=i-1 elapsed_s=9.00" for n in range(80)),
     ]
     (tmp_path / "day.log").write_text("\n".join(lines))
     assert takeover.main([str(tmp_path / "day.log"), "--json"]) == 0
--- a/tests/leadership/test_pass_trigger.py
+++ b/tests/leadership/test_pass_trigger.py
@@ -1,4 +1,4 @@
-"""When placement passes run."""
+"""When requested placement passes run."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     assert passes == [MIN_PASS_DELAY_S, 2 * MIN_PASS_DELAY_S]
 
 
-def test_the_pause_is_in_proportion_to_the_last_pass():
+def test_pause_is_proportional_to_the_duration_of_the_last_pass():
     clock = Clock()
     _, trigger, passes = build_trigger(clock)
     trigger.last_pass_s = 1.0
@@ -44,8 +44,8 @@
     assert len(passes) == 1
 
 
-@pytest.mark.parametrize(("is_loaded", "is_stopped"), [(False, False), (True, True)], ids=["not loaded", "over"])
-def test_a_term_that_is_not_active_runs_no_pass(is_loaded, is_stopped):
+@pytest.mark.parametrize(("is_loaded", "is_stopped"), [(False, False), (True, True)], ids=["not loaded", "ended"])
+def test_inactive_term_runs_no_pass(is_loaded, is_stopped):
     clock = Clock()
     state, trigger, passes = build_trigger(clock, is_loaded)
     state.lifecycle.is_stopped = is_stopped
