--- a/tests/leadership/test_incremental_snapshot.py
+++ b/tests/leadership/test_incremental_snapshot.py
@@ -1,6 +1,6 @@
-"""What is kept up to date piece by piece must say what working it out anew says.
+"""Incrementally updated indexes must agree with values that are computed from the whole state.
 
-Drawn by hypothesis, with a fixed seed unless MEADOWCROSS_EXAMPLES asks for a longer search."""
+hypothesis draws the steps, with a fixed seed unless MEADOWCROSS_EXAMPLES asks for a longer search."""
 
 from __future__ import annotations
 
@@ -33,154 +33,171 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """A leader's book and roster, through placements, ends, losses, machines that come, go, fall
-    silent, drain, are taken back, and jobs that end or are cancelled."""
+    """A leader's tables of jobs and workers, while tasks are placed, end or are lost, machines arrive, leave, fall
+    silent, drain or get an eviction notice, and jobs end or are loaded."""
 
     @initialize()
-    def begin(self) -> None:
+    def start(self) -> None:
         self.clock = Clock()
         self.clock.advance(100.0)
-        self.book = JobTable()
-        self.roster = WorkerRegistry(FencingToken(1))
+        self.job_table = JobTable()
+        self.worker_registry = WorkerRegistry(FencingToken(1))
         runs = MeanRuns()
         self.view = SchedulingView(
             self.clock,
             msgspec.convert(SETTINGS, Settings).facts,
             lambda: list(KINDS.values()),
-            self.book,
-            self.roster,
-            FailureTracker(lambda name: name in self.roster.machines),
+            self.job_table,
+            self.worker_registry,
+            FailureTracker(lambda machine_id: machine_id in self.worker_registry.machines),
             runs,
         )
-        self.ends = TaskCompletionForecast(self.book, runs)
-        self.number = 0
+        self.completion_forecast = TaskCompletionForecast(self.job_table, runs)
+        self.last_number = 0
 
     @property
     def now(self) -> Instant:
         return Instant(self.clock.seconds())
 
     @rule(kind=st.sampled_from(["small", "large", ""]))
-    def a_machine_comes(self, kind):
-        self.number += 1
-        machine = Machine(MachineId(f"i-{self.number:06d}"), MachineKind(kind, "east", True), KINDS.get(kind), self.now)
+    def machine_arrives(self, kind):
+        self.last_number += 1
+        machine = Machine(
+            MachineId(f"i-{self.last_number:06d}"), MachineKind(kind, "east", True), KINDS.get(kind), self.now
+        )
         machine.proof.has_confirmed_token = machine.is_stored = True
         machine.contact.last_contact_at = self.now
-        self.roster.add(machine)
+        self.worker_registry.add(machine)
 
-    @rule(which=st.integers(0, 50))
-    def a_type_becomes_known(self, which):
-        unknown = [m for m in self.roster.machines.values() if m.machine_type is None]
-        if unknown:
-            machine = unknown[which % len(unknown)]
+    @rule(index=st.integers(0, 50))
+    def type_becomes_known(self, index):
+        untyped_machines = [m for m in self.worker_registry.machines.values() if m.machine_type is None]
+        if untyped_machines:
+            machine = untyped_machines[index % len(untyped_machines)]
             machine.kind = MachineKind("small", "east", True)
             machine.machine_type = KINDS["small"]
-            self.roster.on_type_known(machine)
-
-    @rule(heads=st.integers(1, 6), cpus=st.sampled_from([0.5, 1.0, 3.0, 4.0]), rank=st.sampled_from(["urgent", "idle"]))
-    def a_job_comes(self, heads, cpus, rank):
-        self.number += 1
-        spec = msgspec.convert(job(id=f"wk-{self.number:06d}", heads=heads, cpus=cpus, rank=rank), JobSpec)
-        self.book.add(JobRecord(spec, WallTime(self.now)), Revision(self.number))
+            self.worker_registry.on_type_known(machine)
+
+    @rule(
+        task_count=st.integers(1, 6),
+        cpus=st.sampled_from([0.5, 1.0, 3.0, 4.0]),
+        priority=st.sampled_from(["urgent", "idle"]),
+    )
+    def job_arrives(self, task_count, cpus, priority):
+        self.last_number += 1
+        spec = msgspec.convert(
+            job(id=f"wk-{self.last_number:06d}", heads=task_count, cpus=cpus, rank=priority), JobSpec
+        )
+        self.job_table.add(JobRecord(spec, WallTime(self.now)), Revision(self.last_number))
 
     @rule()
-    def a_pass(self):
-        """Through the pieces kept, and over everything: the same choices."""
-        wants, rooms = self.view.pending_jobs(), self.view.quota_headroom()
-        chosen = place(self.view.candidates(), wants, rooms, OperatorSettings())
-        assert chosen == place(self.view.all_candidates(), wants, self.view.quota_headroom(), OperatorSettings())
-        for choice in chosen:
-            one = self.book.jobs[choice.job_id]
-            for name in choice.machines:
-                placement = self.book.place(one, one.pop_waiting_task(), name, self.now)
+    def pass_runs(self):
+        """A pass over the indexed candidates decides the same as a pass over all machines."""
+        pending_jobs, headroom_by_team = self.view.pending_jobs(), self.view.quota_headroom()
+        decisions = place(self.view.candidates(), pending_jobs, headroom_by_team, OperatorSettings())
+        assert decisions == place(
+            self.view.all_candidates(), pending_jobs, self.view.quota_headroom(), OperatorSettings()
+        )
+        for decision in decisions:
+            placed_job = self.job_table.jobs[decision.job_id]
+            for machine_id in decision.machines:
+                placement = self.job_table.place(placed_job, placed_job.pop_waiting_task(), machine_id, self.now)
                 placement.phase, placement.running_at = PlacementPhase.RUNNING, self.now
-                self.roster.assign(self.roster.machines[name], placement, one.spec)
-
-    @rule(which=st.integers(0, 50), done=st.booleans())
-    def a_task_ends(self, which, done):
-        placed = [p for j in self.book.jobs.values() for p in j.placements.values()]
-        if placed:
-            placement = placed[which % len(placed)]
-            spec = self.book.jobs[placement.task.job].spec
-            self.roster.unassign(placement, spec, self.now)
-            (self.book.complete_task if done else self.book.release)(placement)
-
-    @rule(which=st.integers(0, 50), what=st.sampled_from(["deleted", "silent", "draining", "condemned", "taken"]))
-    def a_machine_leaves(self, which, what):
-        if not self.roster.machines:
+                self.worker_registry.assign(self.worker_registry.machines[machine_id], placement, placed_job.spec)
+
+    @rule(index=st.integers(0, 50), is_done=st.booleans())
+    def task_ends(self, index, is_done):
+        placements = [p for j in self.job_table.jobs.values() for p in j.placements.values()]
+        if placements:
+            placement = placements[index % len(placements)]
+            spec = self.job_table.jobs[placement.task.job].spec
+            self.worker_registry.unassign(placement, spec, self.now)
+            (self.job_table.complete_task if is_done else self.job_table.release)(placement)
+
+    @rule(
+        index=st.integers(0, 50),
+        change=st.sampled_from(["deleted", "silent", "draining", "decommissioned", "reclaimed"]),
+    )
+    def machine_leaves(self, index, change):
+        if not self.worker_registry.machines:
             return
-        machine = list(self.roster.machines.values())[which % len(self.roster.machines)]
-        if what == "deleted":
-            for placement in self.roster.remove(machine.id):
-                self.book.release(placement)
-            self.ends.forget(machine.id)
-        elif what == "silent":
+        machine = list(self.worker_registry.machines.values())[index % len(self.worker_registry.machines)]
+        if change == "deleted":
+            for placement in self.worker_registry.remove(machine.id):
+                self.job_table.release(placement)
+            self.completion_forecast.forget(machine.id)
+        elif change == "silent":
             machine.contact.last_contact_at = Instant(0.0)
-        elif what == "draining":
+        elif change == "draining":
             machine.is_draining = not machine.is_draining
-        elif what == "condemned":
+        elif change == "decommissioned":
             machine.decommission_reason = "for the test"
         else:
             machine.reclaim_at = Instant(self.now + 5.0)
 
-    @rule(which=st.integers(0, 50))
-    def a_job_is_over(self, which):
-        over = [j for j in self.book.jobs.values() if not j.placements]
-        if over:
-            self.book.remove(over[which % len(over)].id)
-
-    @rule(first=st.integers(0, 5))
-    def a_job_is_taken_over(self, first):
-        """As a new leader loads it: some tasks done, some placed, some lost."""
-        self.number += 1
-        spec = msgspec.convert(job(id=f"wk-{self.number:06d}", heads=6), JobSpec)
-        one = self.book.add(JobRecord(spec, WallTime(self.now)), Revision(self.number))
-        entries = [-1] * first + [2] * (6 - first)
-        for _ in one.load_chunk(0, entries):
-            raise AssertionError("nothing was placed")
-        if self.roster.machines and first < 6:
-            machine = next(iter(self.roster.machines.values()))
-            placement = self.book.adopt_placement(one, 5, Attempt(2), machine.id, self.now)
-            self.roster.assign(machine, placement, spec)
-        self.book.rebuild_waiting(one)
+    @rule(index=st.integers(0, 50))
+    def job_ends(self, index):
+        jobs_without_placements = [j for j in self.job_table.jobs.values() if not j.placements]
+        if jobs_without_placements:
+            self.job_table.remove(jobs_without_placements[index % len(jobs_without_placements)].id)
+
+    @rule(done_count=st.integers(0, 5))
+    def job_is_loaded(self, done_count):
+        """A new leader loads a job of which some tasks are done, some are placed, and some are lost."""
+        self.last_number += 1
+        spec = msgspec.convert(job(id=f"wk-{self.last_number:06d}", heads=6), JobSpec)
+        loaded_job = self.job_table.add(JobRecord(spec, WallTime(self.now)), Revision(self.last_number))
+        entries = [-1] * done_count + [2] * (6 - done_count)
+        for _ in loaded_job.load_chunk(0, entries):
+            raise AssertionError("expected no placement in the chunk")
+        if self.worker_registry.machines and done_count < 6:
+            machine = next(iter(self.worker_registry.machines.values()))
+            placement = self.job_table.adopt_placement(loaded_job, 5, Attempt(2), machine.id, self.now)
+            self.worker_registry.assign(machine, placement, spec)
+        self.job_table.rebuild_waiting(loaded_job)
 
     @rule(seconds=st.sampled_from([0.5, 3.0, 30.0]))
-    def time_passes(self, seconds):
+    def wait(self, seconds):
         self.clock.advance(seconds)
-        for machine in self.roster.machines.values():
+        for machine in self.worker_registry.machines.values():
             if machine.contact.last_contact_at:
                 machine.contact.last_contact_at = self.now
 
     @invariant()
-    def the_pieces_agree_with_the_whole(self):
-        if not hasattr(self, "book"):
+    def indexes_agree_with_the_whole_state(self):
+        if not hasattr(self, "job_table"):
             return
-        assert set(self.book.waiting) == {name for name, one in self.book.jobs.items() if one.waiting_count}
-        placed = Counter(one.rank for one in self.book.jobs.values() for _ in one.placements)
-        assert self.book.placed_count_by_rank == placed
-        free = {
+        assert set(self.job_table.waiting) == {
+            job_id for job_id, open_job in self.job_table.jobs.items() if open_job.waiting_count
+        }
+        placed_counts = Counter(open_job.rank for open_job in self.job_table.jobs.values() for _ in open_job.placements)
+        assert self.job_table.placed_count_by_rank == placed_counts
+        ids_with_free_cpu = {
             m.id
-            for m in self.roster.machines.values()
+            for m in self.worker_registry.machines.values()
             if m.machine_type is not None and m.machine_type.cpus - m.usage.cpus > EPSILON
         }
-        assert set(self.roster.machines_with_free_cpu) == free
-        offered = {o.machine: o for o in self.view.candidates()}
-        assert offered == {o.machine: o for o in self.view.all_candidates() if o.free_cpus > EPSILON}
+        assert set(self.worker_registry.machines_with_free_cpu) == ids_with_free_cpu
+        candidates = {candidate.machine: candidate for candidate in self.view.candidates()}
+        assert candidates == {
+            candidate.machine: candidate for candidate in self.view.all_candidates() if candidate.free_cpus > EPSILON
+        }
 
     @invariant()
-    def ends_are_those_of_the_tasks_that_run(self):
-        if not hasattr(self, "book"):
+    def forecast_completions_are_of_running_tasks(self):
+        if not hasattr(self, "job_table"):
             return
-        for machine in self.roster.machines.values():
-            before = Instant(self.now + 20.0)
-            running = [
-                self.book.jobs[p.task.job].spec
+        for machine in self.worker_registry.machines.values():
+            deadline = Instant(self.now + 20.0)
+            running_specs = [
+                self.job_table.jobs[p.task.job].spec
                 for p in machine.placements.values()
                 if p.phase is PlacementPhase.RUNNING and p.running_at is not None
             ]
-            told = list(self.ends.completions_before(machine, before, self.now))
-            assert all(spec in running for spec in told)
-            if self.now - self.ends._cache[machine.id].made_at < FORECAST_MAX_AGE_S:
-                assert sum(s.cpus for s in told) <= machine.usage.cpus + EPSILON
+            completions = list(self.completion_forecast.completions_before(machine, deadline, self.now))
+            assert all(spec in running_specs for spec in completions)
+            if self.now - self.completion_forecast._cache[machine.id].made_at < FORECAST_MAX_AGE_S:
+                assert sum(completed_spec.cpus for completed_spec in completions) <= machine.usage.cpus + EPSILON
 
 
 Fleet.TestCase.settings = settings(
--- a/tests/leadership/test_large_clusters.py
+++ b/tests/leadership/test_large_clusters.py
@@ -1,4 +1,4 @@
-"""At size: huge arrays, thousands of waiting jobs, all workers at once."""
+"""Large clusters: huge arrays, thousands of waiting jobs, heartbeats of all workers at once."""
 
 from __future__ import annotations
 
@@ -18,67 +18,71 @@
 from simulation.standins import Worker
 from tests.support.world import job
 
-MOST = 100_000
+MAX_ARRAY_TASKS = 100_000
 
 
-@pytest.mark.parametrize(("heads", "status"), [(MOST, 201), (MOST + 1, 400)])
-def test_the_largest_array_is_one_write_and_a_larger_one_is_malformed(world, heads, status):
-    before = world.state.revision
-    assert world.submit(heads=heads).status == status
-    assert world.state.revision - before == (status == 201)
+@pytest.mark.parametrize(("task_count", "status"), [(MAX_ARRAY_TASKS, 201), (MAX_ARRAY_TASKS + 1, 400)])
+def test_largest_array_takes_one_write_and_a_larger_one_is_rejected(world, task_count, status):
+    revision_before = world.state.revision
+    assert world.submit(heads=task_count).status == status
+    assert world.state.revision - revision_before == (status == 201)
 
 
-def test_a_pass_over_the_largest_array_stores_only_what_it_placed(world):
+def test_pass_over_the_largest_array_stores_only_changed_chunks(world):
     term = world.lead()
-    world.submit(heads=MOST, grazeS=600.0, sundownS=None)
+    world.submit(heads=MAX_ARRAY_TASKS, grazeS=600.0, sundownS=None)
     world.pass_time(8.0)
-    big = term.job_table.jobs["wk-000001"]
-    assert big.placements and len(big.placements) + big.waiting_count == MOST
+    largest_job = term.job_table.jobs["wk-000001"]
+    assert largest_job.placements and len(largest_job.placements) + largest_job.waiting_count == MAX_ARRAY_TASKS
     chunks = [key for key in world.state.keys if key.startswith("t/wk-000001/")]
-    assert len(chunks) == len({big.chunk_of(index) for index in big.placements}), "a chunk written without need"
+    assert len(chunks) == len({largest_job.chunk_of(index) for index in largest_job.placements}), (
+        "unchanged chunk stored"
+    )
 
 
-def test_thousands_of_waiting_jobs_ask_full_rooms_once(monkeypatch):
-    asked = 0
+def test_full_machines_are_checked_once_for_each_shape_of_thousands_of_jobs(monkeypatch):
+    check_count = 0
     fits = Candidate.fits
 
-    def counting(offer, spec):
-        nonlocal asked
-        asked += 1
-        return fits(offer, spec)
+    def count_and_check(candidate, spec):
+        nonlocal check_count
+        check_count += 1
+        return fits(candidate, spec)
 
-    monkeypatch.setattr(Candidate, "fits", counting)
+    monkeypatch.setattr(Candidate, "fits", count_and_check)
     kind = MachineKind("small", "east", True)
-    offers = [Candidate(MachineId(f"i-{n}"), kind, 4.0, 0.0, 16.0, set()) for n in range(500)]
-    wants = []
+    candidates = [Candidate(MachineId(f"i-{n}"), kind, 4.0, 0.0, 16.0, set()) for n in range(500)]
+    pending_jobs = []
     for number in range(4000):
         spec = msgspec.convert(job(id=f"wk-{number:06d}", heads=1, cpus=1.0 + number % 3), JobSpec)
-        wants.append(PendingJob(JobId(spec.id), spec, 1, 2, float(number)))
-    choices = place(offers, wants, {"b": QuotaHeadroom(1e15, 1e15)}, OperatorSettings())
-    placed = sum(len(choice.machines) for choice in choices)
-    assert placed >= 500
-    # Each that found room looked at what was left; of the others, one of each shape did.
-    assert asked < (placed + 3) * 502
+        pending_jobs.append(PendingJob(JobId(spec.id), spec, 1, 2, float(number)))
+    decisions = place(candidates, pending_jobs, {"b": QuotaHeadroom(1e15, 1e15)}, OperatorSettings())
+    placed_count = sum(len(decision.machines) for decision in decisions)
+    assert placed_count >= 500
+    # Each job that was placed checked the remaining machines; of the other jobs, only one of each shape did.
+    assert check_count < (placed_count + 3) * 502
 
 
-@pytest.mark.parametrize("leads", [False, True])
-def test_all_workers_at_once_are_told_where_to_go_or_answered(world, leads):
-    term = world.lead() if leads else None
+@pytest.mark.parametrize("is_leading", [False, True])
+def test_heartbeats_of_all_workers_at_once_are_handled_or_redirected(world, is_leading):
+    term = world.lead() if is_leading else None
     api = WorkerApi(
         lambda: term.handle_heartbeat if term else None, lambda: NodeName("n1"), HeartbeatTracker(world.clock, 5.0)
     )
     world.net.calls.clear()
-    answers = []
+    responses = []
     for number in range(600):
-        name = f"i-{number:06d}"
-        machine = {"id": name, "addr": f"{name}:9000", "build": "small", "field": "east", "stubble": True}
-        answers.append(api.handle_heartbeat(encode(Worker(machine).report())))
-    if leads:
-        assert {answer.status for answer in answers} == {200}
+        machine_id = f"i-{number:06d}"
+        machine = {"id": machine_id, "addr": f"{machine_id}:9000", "build": "small", "field": "east", "stubble": True}
+        responses.append(api.handle_heartbeat(encode(Worker(machine).report())))
+    if is_leading:
+        assert {response.status for response in responses} == {200}
         assert len(term.worker_registry.machines) == 600
         world.pass_time(6.0)
-        writes = [len(json.loads(body)["writes"]) for _, target, body in world.net.calls if target.endswith("/multi")]
-        assert max(writes) <= world.store.max_changes and sum(writes) >= 600
+        write_counts = [
+            len(json.loads(body)["writes"]) for _, target, body in world.net.calls if target.endswith("/multi")
+        ]
+        assert max(write_counts) <= world.store.max_changes and sum(write_counts) >= 600
         assert all(machine.is_stored for machine in term.worker_registry.machines.values())
     else:
-        assert {(a.status, a.body) for a in answers} == {(421, b'{"drover":"n1"}\n')}
+        assert {(redirect.status, redirect.body) for redirect in responses} == {(421, b'{"drover":"n1"}\n')}
--- a/tests/leadership/test_scheduling_snapshot.py
+++ b/tests/leadership/test_scheduling_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots for placement: which want may still start promptly on a machine with its image."""
+"""Pending jobs in the scheduling view: which of them require a cached image, and which are starved."""
 
 from __future__ import annotations
 
@@ -18,85 +18,100 @@
 from simulation.standins import TYPES
 from tests.support.world import SETTINGS, job
 
-WARM_ONLY = [
-    # name, class, aim on the start, seconds since its submission, image; fetched at 1 GB a second
+CACHED_IMAGE_CASES = [
+    # class, objective on the start (s), age of the job (s), image (GB, fetched at 1 GB/s), whether it must be cached
     ("in time only without a fetch", "prompt", 1.0, 0.2, 1.5, True),
-    ("half of the time is gone", "prompt", 1.0, 0.5, 1.5, False),
-    ("a fetch is quick enough", "prompt", 1.0, 0.2, 0.7, False),
-    ("no hurry to start", "prompt", 70.0, 5.0, 1.5, False),
-    ("a class without such an aim", "train", 1.0, 0.2, 1.5, False),
+    ("half of the time has passed", "prompt", 1.0, 0.5, 1.5, False),
+    ("fetch is quick enough", "prompt", 1.0, 0.2, 0.7, False),
+    ("long objective", "prompt", 70.0, 5.0, 1.5, False),
+    ("class without an objective on the start", "train", 1.0, 0.2, 1.5, False),
 ]
 
 
 @pytest.mark.parametrize(
-    ("job_class", "within", "elapsed", "image", "warm_only"), [w[1:] for w in WARM_ONLY], ids=[w[0] for w in WARM_ONLY]
+    ("job_class", "start_within_s", "age_s", "image_gb", "requires_cached_image"),
+    [row[1:] for row in CACHED_IMAGE_CASES],
+    ids=[row[0] for row in CACHED_IMAGE_CASES],
 )
-def test_warm_only(job_class, within, elapsed, image, warm_only):
+def test_cached_image_is_required_while_only_it_meets_the_objective(
+    job_class, start_within_s, age_s, image_gb, requires_cached_image
+):
     clock = Clock()
-    clock.advance(100.0 + elapsed)
+    clock.advance(100.0 + age_s)
     settings = msgspec.convert(SETTINGS, Settings)
-    facts = msgspec.structs.replace(settings.facts, objectives=[Objective("wait", "prompt", 0.8, None, within)])
+    facts = msgspec.structs.replace(settings.facts, objectives=[Objective("wait", "prompt", 0.8, None, start_within_s)])
     types = decode_machine_types(encode({"builds": TYPES})).types
-    book = JobTable()
-    book.add(JobRecord(msgspec.convert(job(herd=job_class, pullGb=image), JobSpec), WallTime(100.0)), Revision(1))
+    job_table = JobTable()
+    job_table.add(
+        JobRecord(msgspec.convert(job(herd=job_class, pullGb=image_gb), JobSpec), WallTime(100.0)), Revision(1)
+    )
     view = SchedulingView(
-        clock, facts, lambda: types, book, WorkerRegistry(FencingToken(1)), FailureTracker(bool), MeanRuns()
+        clock, facts, lambda: types, job_table, WorkerRegistry(FencingToken(1)), FailureTracker(bool), MeanRuns()
     )
-    assert [want.requires_cached_image for want in view.pending_jobs()] == [warm_only]
+    assert [pending.requires_cached_image for pending in view.pending_jobs()] == [requires_cached_image]
 
 
-BEGIN = [
-    # kind, seconds since its submission, attempts so far, whether it must begin, and with how many tasks
+STARVATION_CASES = [
+    # kind, age of the job (s), attempts of its tasks, whether it is starved, and how many tasks to place
     ("not yet", "batch", 100.0, [0, 0], (False, 2)),
-    ("an array", "batch", 130.0, [0, 0], (True, 1)),
-    ("a gang, all of it", "group", 130.0, [0, 0], (True, 2)),
-    ("begun, and nothing placed for long: a task at a time", "batch", 130.0, [1, 0], (True, 1)),
-    ("begun, and lost lately", "batch", 100.0, [1, 0], (False, 2)),
+    ("array with one task", "batch", 130.0, [0, 0], (True, 1)),
+    ("gang with all members", "group", 130.0, [0, 0], (True, 2)),
+    ("array that began, with one task", "batch", 130.0, [1, 0], (True, 1)),
+    ("began, and not waiting for long", "batch", 100.0, [1, 0], (False, 2)),
 ]
 
 
-@pytest.mark.parametrize(("kind", "elapsed", "attempts", "expected"), [b[1:] for b in BEGIN], ids=[b[0] for b in BEGIN])
-def test_what_never_began_must_begin_within_four_minutes(kind, elapsed, attempts, expected):
+@pytest.mark.parametrize(
+    ("kind", "age_s", "attempts", "expected"),
+    [row[1:] for row in STARVATION_CASES],
+    ids=[row[0] for row in STARVATION_CASES],
+)
+def test_job_without_placements_is_starved_after_two_minutes(kind, age_s, attempts, expected):
     clock = Clock()
-    clock.advance(100.0 + elapsed)
+    clock.advance(100.0 + age_s)
     facts = msgspec.convert(SETTINGS, Settings).facts
     types = decode_machine_types(encode({"builds": TYPES})).types
-    book = JobTable()
-    waits = book.add(JobRecord(msgspec.convert(job(breed=kind), JobSpec), WallTime(100.0)), Revision(1))
-    list(waits.load_chunk(0, attempts))
-    book.rebuild_waiting(waits)
+    job_table = JobTable()
+    waiting_job = job_table.add(JobRecord(msgspec.convert(job(breed=kind), JobSpec), WallTime(100.0)), Revision(1))
+    list(waiting_job.load_chunk(0, attempts))
+    job_table.rebuild_waiting(waiting_job)
     view = SchedulingView(
-        clock, facts, lambda: types, book, WorkerRegistry(FencingToken(1)), FailureTracker(bool), MeanRuns()
+        clock, facts, lambda: types, job_table, WorkerRegistry(FencingToken(1)), FailureTracker(bool), MeanRuns()
     )
-    assert [(want.is_starved, want.task_count) for want in view.pending_jobs()] == [expected]
+    assert [(pending.is_starved, pending.task_count) for pending in view.pending_jobs()] == [expected]
 
 
-LOST = [
-    # kind, image in GB at 1 GB a second, seconds since it was lost, whether only warm room is taken, whether in a hurry
-    ("a replica just lost", "daemon", 30.0, 1.0, True, True),
-    ("no warm room was made in time", "daemon", 30.0, 2.5, False, True),
-    ("a quick fetch", "daemon", 1.0, 1.0, False, True),
-    ("an array's task", "batch", 30.0, 1.0, False, False),
+LOST_REPLICA_CASES = [
+    # kind, image (GB, fetched at 1 GB/s), time since the loss (s), whether the image must be cached, whether it is late
+    ("replica just lost", "daemon", 30.0, 1.0, True, True),
+    ("no machine with the image in time", "daemon", 30.0, 2.5, False, True),
+    ("quick fetch", "daemon", 1.0, 1.0, False, True),
+    ("task of an array", "batch", 30.0, 1.0, False, False),
 ]
 
 
 @pytest.mark.parametrize(
-    ("kind", "image", "ago", "warm_only", "hurry"), [one[1:] for one in LOST], ids=[one[0] for one in LOST]
+    ("kind", "image_gb", "lost_for_s", "requires_cached_image", "is_late"),
+    [row[1:] for row in LOST_REPLICA_CASES],
+    ids=[row[0] for row in LOST_REPLICA_CASES],
 )
-def test_a_lost_replica_waits_a_moment_for_room_where_its_image_is(kind, image, ago, warm_only, hurry):
-    """Replicas of lost machines fetched 6 GB anew for 30 to 45 s beside idle-time work on machines that had it."""
+def test_lost_replica_waits_briefly_for_a_machine_with_its_image(
+    kind, image_gb, lost_for_s, requires_cached_image, is_late
+):
+    """Guards against replicas of lost machines that fetch 6 GB again for 30 to 45 s, while tasks of idle priority run
+    on machines that have the image."""
     clock = Clock()
     clock.advance(500.0)
     facts = msgspec.convert(SETTINGS, Settings).facts
     types = decode_machine_types(encode({"builds": TYPES})).types
-    book = JobTable()
-    spec = msgspec.convert(job(breed=kind, pullGb=image, scatter=True, sundownS=None), JobSpec)
-    lost = book.add(JobRecord(spec, WallTime(100.0)), Revision(1))
-    lost.attempts = [1, 1]
-    book.rebuild_waiting(lost)
-    lost.last_loss_at = Instant(500.0 - ago)
+    job_table = JobTable()
+    spec = msgspec.convert(job(breed=kind, pullGb=image_gb, scatter=True, sundownS=None), JobSpec)
+    lost_job = job_table.add(JobRecord(spec, WallTime(100.0)), Revision(1))
+    lost_job.attempts = [1, 1]
+    job_table.rebuild_waiting(lost_job)
+    lost_job.last_loss_at = Instant(500.0 - lost_for_s)
     view = SchedulingView(
-        clock, facts, lambda: types, book, WorkerRegistry(FencingToken(1)), FailureTracker(bool), MeanRuns()
+        clock, facts, lambda: types, job_table, WorkerRegistry(FencingToken(1)), FailureTracker(bool), MeanRuns()
     )
-    (want,) = view.pending_jobs()
-    assert (want.requires_cached_image, want.start_slack_s < 0) == (warm_only, hurry)
+    (pending,) = view.pending_jobs()
+    assert (pending.requires_cached_image, pending.start_slack_s < 0) == (requires_cached_image, is_late)
