--- a/meadowcross/leadership/heartbeat_handler.py
+++ b/meadowcross/leadership/heartbeat_handler.py
@@ -67,8 +67,9 @@
         self._cancellations_before_load = cancellations_before_load
 
     def handle(self, heartbeat: Heartbeat, relay: NodeName | None = None) -> HeartbeatResponse | Redirect | None:
-        """Respond to a worker's full heartbeat, which came directly or through `relay`. Returns None if this controller
-        is no longer the leader."""
+        """Respond to a worker's full heartbeat, which came directly or through `relay`.
+
+        Returns a `Redirect` to assign the worker to a relay, and None if this controller is no longer the leader."""
         token = self._context.token
         if not self._lifecycle.is_loaded:
             # The response renews the worker lease; the status is not applied before the state is loaded.
--- a/meadowcross/leadership/machine_verification.py
+++ b/meadowcross/leadership/machine_verification.py
@@ -13,7 +13,7 @@
 log = get_logger("leadership")
 
 CLOUD_LIST_MARGIN_S: Seconds = 1.0
-"""Tolerated error of a machine's creation time."""
+"""Tolerated error of a machine's creation time: a list must be newer than the start of the term by more than this."""
 
 
 class MachineVerification:
--- a/meadowcross/leadership/pass_trigger.py
+++ b/meadowcross/leadership/pass_trigger.py
@@ -22,6 +22,7 @@
         self.is_scheduled = False
         """Whether a pass is due; further requests are ignored until it has begun."""
         self.last_pass_s: Seconds = 0.0
+        """Duration of the last pass."""
 
     def set_runner(self, run_pass: Callable[[], None]) -> None:
         """Set the function that runs a pass; it resets `is_scheduled` and sets `last_pass_s`."""
--- a/tests/leadership/test_leader_term.py
+++ b/tests/leadership/test_leader_term.py
@@ -146,17 +146,17 @@
 
 
 def test_new_leader_starts_no_task_twice(world):
-    first = world.lead()
+    first_term = world.lead()
     world.submit(heads=3)
     world.pass_time(5.0)
     started_before = {key for w in world.workers.values() for key in w.started}
     world.election.step_down("test")
     world.pass_time(1.0)
-    second = world.term
-    assert second is not first and second.token > first.token and second.loaded
+    second_term = world.term
+    assert second_term is not first_term and second_term.token > first_term.token and second_term.loaded
     world.pass_time(5.0)
     assert {key for w in world.workers.values() for key in w.started} == started_before
-    assert all(w.token == second.token for w in world.workers.values())
+    assert all(w.token == second_term.token for w in world.workers.values())
     # A task whose worker restarted runs again, with a higher attempt.
     worker = next(w for w in world.workers.values() if w.tasks)
     worker.session, worker.tasks = 2, {}
@@ -359,14 +359,14 @@
     world.pass_time(8.0, 0.25)
     assert len(world.running()) == 100
     world.reporting = False
-    first = world.term
+    first_term = world.term
     world.election.step_down("test")
     probe_counts = []
     for _ in range(60):
         calls_before = len(world.net.calls)
         world.clock.advance(0.05)
         probe_counts.append(sum("/commands" in path for _, path, _ in world.net.calls[calls_before:]))
-    assert world.term is not first and sum(probe_counts) >= 100 and max(probe_counts) <= 32
+    assert world.term is not first_term and sum(probe_counts) >= 100 and max(probe_counts) <= 32
     # The machines send no heartbeats; their responses to the probes alone confirm the token.
     assert all(machine.proof.has_confirmed_token for machine in world.term.worker_registry.machines.values())
 
@@ -396,21 +396,24 @@
 
 
 def test_runs_observed_only_at_their_end_are_not_learned(world):
-    first = world.lead()
+    first_term = world.lead()
     world.submit()
     world.pass_time(6.0)
     assert len(world.running()) == 2
     world.election.step_down("for the test")
     world.pass_time(4.0)
-    second = world.term
-    assert second is not first and second.loaded
+    second_term = world.term
+    assert second_term is not first_term and second_term.loaded
     for worker in world.workers.values():
         for key in list(worker.tasks):
             worker.end(key)
     world.pass_time(3.0)
     assert world.state.value("e/wk-000001") == {"s": "done", "n": 2}
     learned = [
-        entry.name for term in (first, second) for entry in term.estimators.learned.entries() if entry.name[0] != "f"
+        entry.name
+        for term in (first_term, second_term)
+        for entry in term.estimators.learned.entries()
+        if entry.name[0] != "f"
     ]
     assert learned == [], "a run of 30 s was learned as one of 2 s"
 
