--- a/meadowcross/relay/__init__.py
+++ b/meadowcross/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Relays: controllers that answer workers for the leader, under its grant; the leader alone decides."""
+"""Relays: controllers that answer heartbeats for the leader under a grant; all decisions are made by the leader."""
--- a/meadowcross/relay/assignment.py
+++ b/meadowcross/relay/assignment.py
@@ -1,8 +1,8 @@
-"""Which relay a worker sends its heartbeats to: rendezvous hashing with bounded loads, the worker's zone first.
+"""Assigns workers to relays by rendezvous hashing with bounded loads, preferring relays in the worker's zone.
 
-An assignment is sticky: it changes only when its relay goes, is full, or is left by the worker itself. Rendezvous
-hashing (Thaler and Ravishankar, 1998) moves nobody but a gone relay's own workers; the bound on loads is that of
-"Consistent Hashing with Bounded Loads" (Mirrokni, Thorup and Zadimoghaddam, 2018).
+An assignment is sticky: it changes only when its relay fails or is full, or when the worker itself changes to another
+node. With rendezvous hashing (Thaler and Ravishankar, 1998) the removal of a relay moves only the workers of that
+relay; the bound on loads is that of "Consistent Hashing with Bounded Loads" (Mirrokni, Thorup and Zadimoghaddam, 2018).
 """
 
 from __future__ import annotations
@@ -14,59 +14,59 @@
 from meadowcross.common.types import MachineId, NodeName
 
 LOAD_FACTOR = 1.1
-"""No relay gets more than this times an equal part, as long as another has room."""
+"""Upper bound of a relay's load, as a multiple of the average load, while another relay has capacity left."""
 
 
 class RelayCapacity(NamedTuple):
-    """A relay with a grant: where it is, and how many workers its sockets allow."""
+    """The zone of a relay with a grant, and the number of workers that its sockets allow."""
 
     zone: str
     max_workers: int
 
 
 def rendezvous_weight(node: NodeName, machine: MachineId) -> int:
-    """The rendezvous weight; the node with the highest one is preferred."""
+    """Return the rendezvous weight of a node for a machine; the node with the highest weight is preferred."""
     return int.from_bytes(blake2b(f"{node}/{machine}".encode(), digest_size=8).digest(), "big")
 
 
 class RelayAssignment:
-    """The workers of each relay, as the leader knows them."""
+    """The leader's record of the relay that each worker is assigned to."""
 
     def __init__(self) -> None:
         self.relays: dict[NodeName, RelayCapacity] = {}
         self._relay_by_worker: dict[MachineId, NodeName] = {}
         self._workers_by_relay: dict[NodeName, set[MachineId]] = {}
         self._avoided: dict[MachineId, set[NodeName]] = {}
-        """Relays that a worker was redirected to and did not stay with."""
+        """By worker: the relays that it was redirected to without staying there."""
 
     def relay_of(self, machine: MachineId) -> NodeName | None:
-        """The worker's relay, if it has one."""
+        """Return the relay that the worker is assigned to, or None."""
         return self._relay_by_worker.get(machine)
 
     def load(self, node: NodeName) -> int:
-        """How many workers are assigned to a relay."""
+        """Return the number of workers that are assigned to a relay."""
         return len(self.workers_of(node))
 
     def workers_of(self, node: NodeName) -> set[MachineId]:
-        """The workers assigned to a relay."""
+        """Return the workers that are assigned to a relay."""
         return self._workers_by_relay.get(node, set())
 
     def assign(self, machine: MachineId, node: NodeName) -> None:
-        """The worker's heartbeats come through this relay."""
+        """Assign the worker to a relay that already answers its heartbeats, and clear its avoided relays."""
         self._move(machine, node)
         self._avoided.pop(machine, None)
 
     def forget(self, machine: MachineId) -> None:
-        """The machine was deleted."""
+        """Remove a deleted machine's assignment and its avoided relays."""
         self._move(machine, None)
         self._avoided.pop(machine, None)
 
     def reset_avoidance(self) -> None:
-        """Relays that did not serve a worker may be assigned to it again."""
+        """Clear the avoided relays of all workers, so that each relay may be assigned to any worker again."""
         self._avoided.clear()
 
     def remove_relay(self, node: NodeName) -> list[MachineId]:
-        """The relay is gone. Returns its workers; each is assigned again at its next heartbeat."""
+        """Remove a relay and return its workers, sorted; each is assigned again at its next heartbeat."""
         self.relays.pop(node, None)
         workers = sorted(self.workers_of(node))
         for machine in workers:
@@ -74,14 +74,16 @@
         return workers
 
     def on_heartbeat(self, machine: MachineId, zone: str, via: NodeName) -> NodeName | None:
-        """A heartbeat came through node `via`, a relay or the leader itself. Returns the relay to redirect the worker
-        to, or None if it is to stay."""
+        """Update the assignment after a heartbeat that came through node `via`, a relay or the leader itself.
+
+        Returns the relay to redirect the worker to, or None if the worker stays at `via`.
+        """
         current = self._relay_by_worker.get(machine)
         if current == via:
             self._avoided.pop(machine, None)
             return None
         if current is not None:
-            # Assigned there, it comes by another node: that relay does not serve it.
+            # The worker reached another node than its relay, so that relay does not serve it.
             self._avoided.setdefault(machine, set()).add(current)
         if current is not None and self._has_capacity(via):
             self._move(machine, via)
@@ -94,7 +96,7 @@
         return target if target != via else None
 
     def choose_relay(self, machine: MachineId, zone: str) -> NodeName | None:
-        """The relay that a worker should send its heartbeats to; None if none has room."""
+        """Return the relay that the worker should send its heartbeats to, or None if no relay has capacity left."""
         avoided = self._avoided.get(machine, set())
         load_bound = math.ceil(LOAD_FACTOR * (len(self._relay_by_worker) + 1) / max(1, len(self.relays)))
         available = [node for node in self.relays if node not in avoided and self._has_capacity(node)]
--- a/meadowcross/relay/messages.py
+++ b/meadowcross/relay/messages.py
@@ -1,7 +1,7 @@
-"""Messages between a leader and its relays, on the controllers' link.
+"""Messages between a leader and its relays, on the connections between controllers.
 
-Workers' own messages are carried as raw JSON, so that their wire names stay in `workers.messages`. Durations are in
-seconds; `number` pairs a request with its answer on one connection.
+Messages of workers are embedded as raw JSON, so that `workers.messages` alone defines their wire names. Durations are
+in seconds; `number` matches a response with its request on one connection.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from meadowcross.common.types import Address, FencingToken, MachineId, NodeName, Seconds
 
 MAX_MACHINES_PER_MESSAGE = 2_000
-"""A message with this many names is well below the limit of a netstring."""
+"""A message with this many machine names is well below the size limit of a netstring."""
 
 
 class RelayGrant(Struct, tag="grant", tag_field="kind"):
-    """The leader lets a node answer heartbeats with its token, for `expires_s` from the arrival of this message."""
+    """Permits a node to answer heartbeats with the leader's token, for `expires_s` from the arrival of this message."""
 
     node: NodeName
     token: FencingToken
@@ -35,7 +35,7 @@
 
 
 class HeartbeatRenewals(Struct, tag="renewals", tag_field="kind"):
-    """Heartbeats that a relay answered by itself since its last message."""
+    """The heartbeats that a relay answered by itself since its previous message of this kind."""
 
     node: NodeName
     token: FencingToken
@@ -43,14 +43,14 @@
 
 
 class ResendRequest(Struct, tag="resend", tag_field="kind"):
-    """The leader asks for the next heartbeat of these machines in full."""
+    """Asks a relay to forward the next heartbeat of each of these machines in full."""
 
     token: FencingToken
     machines: Annotated[list[MachineId], Meta(max_length=MAX_MACHINES_PER_MESSAGE)]
 
 
 class RelayedWorkers(Struct, tag="held", tag_field="kind"):
-    """For a new leader: the machines that send their heartbeats to this relay."""
+    """Reports to a new leader the machines that send their heartbeats to this relay."""
 
     node: NodeName
     token: FencingToken
@@ -58,7 +58,7 @@
 
 
 class ForwardedHeartbeat(Struct, tag="report?", tag_field="kind"):
-    """A worker's full heartbeat."""
+    """A worker's full heartbeat, forwarded to the leader."""
 
     number: int
     node: NodeName
@@ -67,17 +67,17 @@
 
 
 class HeartbeatAnswer(Struct, tag="report", tag_field="kind"):
-    """The leader's response, for the relay to return unchanged."""
+    """The leader's response to a forwarded heartbeat; the relay returns it to the worker unchanged."""
 
     number: int
     status: int
     body: Raw
     is_repeatable: bool = field(name="settled", default=False)
-    """The same heartbeat again would get the same response, without commands."""
+    """Whether a repetition of the heartbeat would get the same response, without commands."""
 
 
 class ForwardedCommands(Struct, tag="commands?", tag_field="kind"):
-    """Commands to a worker of the relay."""
+    """Commands from the leader that the relay sends to one of its workers."""
 
     number: int
     token: FencingToken
@@ -86,7 +86,7 @@
 
 
 class DeliveryOutcome(Enum):
-    """How a request to a worker ended; only one that was certainly not sent may be taken back."""
+    """How a request to a worker ended. Only the commands of a request that was certainly not sent may be withdrawn."""
 
     NOT_SENT = "not_sent"
     UNANSWERED = "unanswered"
@@ -94,7 +94,7 @@
 
 
 class CommandsAnswer(Struct, tag="commands", tag_field="kind"):
-    """The outcome, with the worker's response if there was one."""
+    """The outcome of forwarded commands, with the worker's response if one arrived."""
 
     number: int
     outcome: DeliveryOutcome
--- a/meadowcross/relay/pool.py
+++ b/meadowcross/relay/pool.py
@@ -1,7 +1,7 @@
-"""The leader's side of relaying: grants to relays, the workers of each, their renewals, and commands through them.
+"""The leader's side of relaying: grants, assignment of workers, heartbeat renewals, and commands sent through relays.
 
-Nothing here proves anything of tasks. A forwarded heartbeat goes to the term as if its worker had sent it directly; a
-renewal only says that a worker was in contact and its tasks are unchanged.
+This module never changes the state of a task. The term handles a forwarded heartbeat as if its worker had sent it
+directly; a renewal only shows that a worker was in contact and that its tasks are unchanged.
 """
 
 from __future__ import annotations
@@ -37,47 +37,52 @@
 log = get_logger("relay")
 
 GRANT_DURATION_S: Seconds = 3.0
-"""Renewed each second. Without one a relay redirects its workers, which leaves them most of half a worker lease."""
+"""Grants are renewed each second. A relay without a grant redirects its workers, which then have most of half a worker
+lease left to reach another node."""
 LINK_MARGIN_S: Seconds = 0.5
-"""Time for a request on the link, beyond what the relay gives the worker to respond."""
+"""Time for a request between controllers, added to the time that the relay waits for the worker's response."""
 WORKER_RESPONSE_TIMEOUT_S: Seconds = 4.0
 WORKER_RETRY_DELAY_S: Seconds = 1.0
-"""A worker waits this long for a response, and this long before it tries the next node (by the protocol)."""
+"""By the protocol a worker waits `WORKER_RESPONSE_TIMEOUT_S` for a response, then `WORKER_RETRY_DELAY_S` before it
+tries the next node."""
 CHECK_INTERVAL_S: Seconds = 1.0
-"""Between two calls of `RelayPool.renew_grants`."""
-MOVES_PER_S = 200.0
-"""Workers redirected at most: more new connections at once would hold up those whom the relays serve already."""
+"""Time between two calls of `RelayPool.renew_grants`."""
+MAX_REDIRECTS_PER_S = 200.0
+"""Limit of redirected workers: more new connections at once would delay the workers that the relays already serve."""
 AVOIDANCE_RESET_S: Seconds = 30.0
-"""A relay that did not serve a worker may be assigned to it again after this time."""
-ENABLE_ABOVE = 1.0
-DISABLE_BELOW = 0.75
-"""Relays are enabled above this share of the workers that the leader's own sockets allow, and disabled below that."""
+"""Time between two resets of the relays that workers avoid."""
+ENABLE_ABOVE_SHARE = 1.0
+DISABLE_BELOW_SHARE = 0.75
+"""Relays are enabled above `ENABLE_ABOVE_SHARE` of the workers that the leader's own sockets allow, and disabled at
+`DISABLE_BELOW_SHARE` or less."""
 
 
 class RelayPeer(Protocol):
-    """The part of a peer's heartbeat that tells whether it can be a relay."""
+    """The part of a peer heartbeat that states whether the peer can be a relay."""
 
     node: NodeName
     relay_room: int | None
 
 
 class RelayLink(Protocol):
-    """The part of the controllers' link that a leader with relays needs. `ask_relay` raises ConnectionFailedError and
-    NoResponseError."""
+    """The part of the connections between controllers that a leader with relays needs.
+
+    `ask_relay` raises ConnectionFailedError and NoResponseError.
+    """
 
     def send_relay(self, message: RelayGrant | ResendRequest, peer: NodeName) -> bool:
-        """Send without waiting; False if the peer is not connected."""
+        """Send the message without waiting for an answer; return False if the peer is not connected."""
         ...
 
     async def ask_relay(
         self, peer: NodeName, make_request: Callable[[int], ForwardedCommands], timeout_s: Seconds
     ) -> CommandsAnswer:
-        """Send the request that `make_request` builds from its number, and wait for the answer."""
+        """Send the request that `make_request` builds from its number, and return the answer."""
         ...
 
 
 def direct_sender(http: HttpClient) -> SendCommands:
-    """Returns a function that sends commands from here to a worker's own address."""
+    """Return a function that sends commands from this controller directly to a worker's address."""
 
     async def send(machine: Machine, body: bytes) -> ClientResponse:
         assert machine.address is not None
@@ -88,31 +93,31 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayPoolSettings:
-    """Of the settings, what the pool needs."""
+    """The settings that the relay pool needs."""
 
     mode: RelayMode
     own_capacity: int
-    """How many workers this node's own sockets allow."""
+    """Number of workers that the sockets of this node allow."""
     zones: dict[NodeName, str]
-    """Where the peers are."""
+    """Zone of each peer."""
     report_s: Seconds
-    """Interval of workers' heartbeats."""
+    """Interval of a worker's heartbeats."""
     silent_s: Seconds
-    """Time of silence after which a worker is given up."""
+    """Time without contact after which a worker's machine is decommissioned."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerClients:
-    """The HTTP clients for workers' own addresses."""
+    """The HTTP clients that send commands directly to workers."""
 
     persistent: HttpClient
-    """Keeps its connections: used while relays are disabled."""
+    """Keeps connections open; used while relays are disabled."""
     short_lived: HttpClient
-    """Closes its connections soon: used while relays are enabled, that is, while sockets are short."""
+    """Closes connections soon after use; used while relays are enabled, that is, while sockets are scarce."""
 
 
 class RelayPool:
-    """The relays of one term."""
+    """The relays of one term and their workers."""
 
     def __init__(
         self,
@@ -124,23 +129,24 @@
         settings: RelayPoolSettings,
         peers: Callable[[], Iterable[RelayPeer]],
     ) -> None:
-        """`node` is this node, `token` the term's; `peers` returns those whose heartbeats arrived lately."""
+        """`node` is this node, `token` is the term's token; `peers` returns the peers with a recent heartbeat."""
         self._clock = clock
         self._node = node
         self._token = token
         self._link = link
-        self._send_persistently = direct_sender(clients.persistent)
-        self._send_briefly = direct_sender(clients.short_lived)
+        self._send_by_persistent_client = direct_sender(clients.persistent)
+        self._send_by_short_lived_client = direct_sender(clients.short_lived)
         self._settings = settings
-        self._window_s = silence_window(settings.report_s) + RENEWAL_INTERVAL_S
-        self._move_s = 1.25 * settings.report_s + WORKER_RESPONSE_TIMEOUT_S + WORKER_RETRY_DELAY_S
-        """What a worker may need to reach another node."""
-        self._late_s = max(0.0, self._move_s + CHECK_INTERVAL_S - settings.silent_s)
+        self._silence_window_s = silence_window(settings.report_s) + RENEWAL_INTERVAL_S
+        self._failover_s = 1.25 * settings.report_s + WORKER_RESPONSE_TIMEOUT_S + WORKER_RETRY_DELAY_S
+        """The longest time that a worker needs to reach another node."""
+        self._min_grace_s = max(0.0, self._failover_s + CHECK_INTERVAL_S - settings.silent_s)
+        """Grace from the last contact: no machine is decommissioned before its worker can reach another node."""
         self._peers = peers
         self._registry: WorkerRegistry | None = None
         self._is_enabled = settings.mode is RelayMode.ALWAYS
         self._avoidance_reset_at = Instant(clock.seconds())
-        self._move_rate = TokenBucket(clock, MOVES_PER_S, MOVES_PER_S)
+        self._redirect_limit = TokenBucket(clock, MAX_REDIRECTS_PER_S, MAX_REDIRECTS_PER_S)
         self.assignment = RelayAssignment()
 
     @property
@@ -150,21 +156,21 @@
 
     @property
     def relay_count(self) -> int:
-        """How many relays have a grant now."""
+        """The number of relays that have a grant."""
         return len(self.assignment.relays)
 
     def set_registry(self, registry: WorkerRegistry) -> None:
-        """Set the term's workers; until then renewals are dropped."""
+        """Set the registry of the term's workers; renewals that arrive earlier are dropped."""
         self._registry = registry
 
     def renew_grants(self) -> None:
-        """Grant each usable peer to answer workers for us, while relays are enabled. To be called each second."""
+        """Renew the grants of all usable peers while relays are enabled. To be called every `CHECK_INTERVAL_S`."""
         self._is_enabled = self._should_be_enabled()
         granted = self._send_grants() if self._is_enabled else {}
         for node in [node for node in self.assignment.relays if node not in granted]:
             self._remove_relay(node)
         for node in granted.keys() - self.assignment.relays.keys():
-            log.info("relay %s serves, for %d workers at the most", node, granted[node].max_workers)
+            log.info("relay added node=%s max_workers=%d", node, granted[node].max_workers)
         self.assignment.relays = granted
         self._extend_grace()
         if self.now - self._avoidance_reset_at >= AVOIDANCE_RESET_S:
@@ -172,7 +178,7 @@
             self.assignment.reset_avoidance()
 
     def _send_grants(self) -> dict[NodeName, RelayCapacity]:
-        """Send a grant to each peer that can be a relay; returns those that the link took it for."""
+        """Send a grant to each peer that can be a relay; return the peers that the grant could be sent to."""
         granted: dict[NodeName, RelayCapacity] = {}
         for peer in self._peers():
             message = RelayGrant(self._node, self._token, GRANT_DURATION_S)
@@ -184,92 +190,107 @@
         if self._settings.mode is not RelayMode.AUTO:
             return self._settings.mode is RelayMode.ALWAYS
         machines = len(self._registry.machines) if self._registry is not None else 0
-        return machines > self._settings.own_capacity * (DISABLE_BELOW if self._is_enabled else ENABLE_ABOVE)
+        return machines > self._settings.own_capacity * (
+            DISABLE_BELOW_SHARE if self._is_enabled else ENABLE_ABOVE_SHARE
+        )
 
     def on_peer_lost(self, peer: NodeName) -> None:
-        """The link to a peer was closed."""
+        """Remove the peer's relay, since the connection to the peer was closed."""
         if peer in self.assignment.relays:
             self._remove_relay(peer)
 
     def _remove_relay(self, node: NodeName) -> None:
-        """A relay failed; that its workers are silent is no evidence against them until they can have reached another
-        node."""
-        lost = self.assignment.remove_relay(node)
-        log.info("relay %s serves no more, %d workers come by another way", node, len(lost))
-        for machine_id in lost:
+        """Remove a failed relay.
+
+        The silence of its workers is not counted against them until they can have reached another node.
+        """
+        former_workers = self.assignment.remove_relay(node)
+        log.info("relay removed node=%s workers=%d", node, len(former_workers))
+        for machine_id in former_workers:
             machine = self._registry.machines.get(machine_id) if self._registry is not None else None
             if machine is not None:
-                machine.contact.grace_until = Instant(self.now + self._move_s)
+                machine.contact.grace_until = Instant(self.now + self._failover_s)
 
     def _extend_grace(self) -> None:
         """Give the silent workers of each relay time to reach another node, counted from their last contact.
 
-        If most workers of a relay are silent at once, the cause is the relay or the link to it. The first of them would
-        be given up before that many are silent, so each gets at least the time that reaching another node takes.
+        If most workers of a relay are silent at once, the cause is the relay or the connection to it. The first machine
+        would be decommissioned before most workers are silent, so every silent worker gets at least the time that it
+        takes to reach another node.
         """
         if self._registry is None:
             return
-        silent_since = self.now - self._window_s
+        silent_since = self.now - self._silence_window_s
         for node in self.assignment.relays:
             contacts = [
                 machine.contact
-                for name in self.assignment.workers_of(node)
-                if (machine := self._registry.machines.get(name)) is not None and machine.is_up
+                for machine_id in self.assignment.workers_of(node)
+                if (machine := self._registry.machines.get(machine_id)) is not None and machine.is_up
             ]
             silent = [contact for contact in contacts if (contact.last_contact_at or 0.0) < silent_since]
-            grace_s = self._move_s if len(silent) * 2 > len(contacts) else self._late_s
+            grace_s = self._failover_s if len(silent) * 2 > len(contacts) else self._min_grace_s
             for contact in silent:
                 contact.grace_until = Instant((contact.last_contact_at or 0.0) + grace_s)
 
     def assign_relay(self, machine: Machine, via: NodeName | None) -> NodeName | None:
-        """A newest heartbeat came through relay `via`, or directly (None). Returns the relay to redirect the worker to,
-        or None if it is to stay."""
+        """Update the assignment after a worker's newest heartbeat, which came through relay `via`, or directly (None).
+
+        Returns the relay to redirect the worker to, or None if the worker stays where it is.
+        """
         via = via or self._node
         if not self._is_enabled or not self.assignment.relays:
             return None
-        if self.assignment.relay_of(machine.id) != via and not self._move_rate.try_acquire():
-            # Its next heartbeat is tried again.
+        if self.assignment.relay_of(machine.id) != via and not self._redirect_limit.try_acquire():
+            # The redirect is tried again at the next heartbeat.
             return None
         return self.assignment.on_heartbeat(machine.id, machine.kind.zone, via)
 
     def apply_renewals(self, renewals: HeartbeatRenewals) -> None:
-        """Apply heartbeats that a relay answered by itself. A full one is requested of each worker whose heartbeat did
-        not repeat the newest one that was applied here."""
+        """Apply the renewals that a relay reported.
+
+        Requests a full heartbeat from each worker that is unknown here, and from each worker whose renewal does not
+        repeat the newest heartbeat that was applied here.
+        """
         if renewals.token != self._token or self._registry is None:
             return
-        resend: list[MachineId] = []
+        machines_to_resend: list[MachineId] = []
         for renewal in renewals.renewals:
             machine = self._registry.machines.get(renewal.machine)
             if machine is None:
-                resend.append(renewal.machine)
+                machines_to_resend.append(renewal.machine)
             elif not self._registry.apply_renewal(
                 machine,
                 HeartbeatVersion(renewal.incarnation, renewal.seq),
                 HeartbeatVersion(renewal.incarnation, renewal.full_seq),
                 self.now,
             ):
-                resend.append(machine.id)
-        if resend:
-            self._link.send_relay(ResendRequest(self._token, resend), renewals.node)
+                machines_to_resend.append(machine.id)
+        if machines_to_resend:
+            self._link.send_relay(ResendRequest(self._token, machines_to_resend), renewals.node)
 
     def adopt_workers(self, relayed: RelayedWorkers) -> None:
-        """Assign to a relay the workers that it had before our term began; commands to them go through it."""
+        """Assign to a relay the workers that it had before this term began; commands to them go through the relay."""
         if relayed.token == self._token and relayed.node in self.assignment.relays:
             for machine in relayed.machines:
                 if self.assignment.relay_of(machine) is None:
                     self.assignment.assign(machine, relayed.node)
 
     def forget(self, machine: MachineId) -> None:
-        """The machine was deleted."""
+        """Remove a deleted machine from the assignment."""
         self.assignment.forget(machine)
 
     async def send_commands(self, machine: Machine, body: bytes) -> ClientResponse:
-        """Send commands to a worker, through its relay or from here. Raises ConnectionFailedError if they were
-        certainly not sent, else NoResponseError, also for all requests that are open on a link when it is lost."""
+        """Send commands to a worker, through its relay or directly.
+
+        Raises ConnectionFailedError if the commands were certainly not sent. Raises NoResponseError if they may have
+        been executed, as for all requests in flight on a connection between controllers that is lost.
+        """
         assert machine.address is not None
         relay = self.assignment.relay_of(machine.id)
         if relay is None or relay not in self.assignment.relays:
-            return await (self._send_briefly if self._is_enabled else self._send_persistently)(machine, body)
+            return await (self._send_by_short_lived_client if self._is_enabled else self._send_by_persistent_client)(
+                machine, body
+            )
         return await self._send_through(relay, machine.address, body)
 
     async def _send_through(self, relay: NodeName, address: Address, body: bytes) -> ClientResponse:
@@ -278,7 +299,7 @@
             lambda number: ForwardedCommands(number, self._token, address, Raw(body)),
             COMMAND_TIMEOUT_S + LINK_MARGIN_S,
         )
-        route = f"{address} by {relay}"
+        route = f"{address} via {relay}"
         if answer.outcome is DeliveryOutcome.NOT_SENT:
             raise ConnectionFailedError(route)
         if answer.outcome is DeliveryOutcome.UNANSWERED:
--- a/meadowcross/relay/relay.py
+++ b/meadowcross/relay/relay.py
@@ -1,8 +1,8 @@
-"""The relay's side: answers workers while it has the leader's grant, and decides nothing.
+"""The relay's side: answers or forwards heartbeats while it has the leader's grant; the leader makes all decisions.
 
-A heartbeat that repeats the last full one is answered here, with the leader's token and no commands; any other is
-forwarded to the leader in full. Without a renewed grant, or once a higher token is seen, workers are redirected as by
-any node that does not lead.
+A heartbeat that repeats the last full one is answered here, with the leader's token and without commands; any other
+heartbeat is forwarded to the leader in full. Once the grant has expired or a higher token was received, workers are
+redirected, as by any other node that does not lead.
 """
 
 from __future__ import annotations
@@ -37,39 +37,41 @@
 log = get_logger("relay")
 
 FORWARD_TIMEOUT_S: Seconds = 3.0
-"""Less than the 4 s that a worker waits for its response (by the protocol)."""
+"""Less than the 4 s that a worker waits for its response, by the protocol."""
 RENEWAL_INTERVAL_S: Seconds = 0.5
 WORKER_RETENTION_S: Seconds = 60.0
-"""A worker without a heartbeat for this long is at another node, or gone."""
+"""A worker without a heartbeat for this long uses another node or has ended, so its entry is removed."""
 
 
 class LeaderLink(Protocol):
-    """The part of the controllers' link that a relay needs. `ask_leader` raises ConnectionFailedError and
-    NoResponseError."""
+    """The part of the connections between controllers that a relay needs.
+
+    `ask_leader` raises ConnectionFailedError and NoResponseError.
+    """
 
     def send_relay(self, message: HeartbeatRenewals | RelayedWorkers, peer: NodeName) -> bool:
-        """Send without waiting; False if the peer is not connected."""
+        """Send the message without waiting for an answer; return False if the peer is not connected."""
         ...
 
     async def ask_leader(
         self, leader: NodeName, make_request: Callable[[int], ForwardedHeartbeat], timeout_s: Seconds
     ) -> HeartbeatAnswer:
-        """Send the request that `make_request` builds from its number, and wait for the answer."""
+        """Send the request that `make_request` builds from its number, and return the answer."""
         ...
 
 
 @dataclass(slots=True)
 class RelayedWorker:
-    """A worker that sends its heartbeats here: the last full one, and the newest that was answered."""
+    """A worker that sends its heartbeats to this relay: its last full heartbeat, and the newest that was answered."""
 
     full_heartbeat: Heartbeat
     is_repeatable: bool
-    """The leader has no commands in response to the full heartbeat."""
+    """Whether a repetition of the full heartbeat would get the same response, without commands."""
     seq: int
     last_heartbeat_at: Instant
 
     def is_repeated_by(self, heartbeat: Heartbeat) -> bool:
-        """Whether the heartbeat is newer, says the same as the full one, and needs no response of the leader's."""
+        """Whether the heartbeat is newer, has the contents of the full one, and needs no response by the leader."""
         return (
             self.is_repeatable
             and heartbeat.seq > self.seq
@@ -82,7 +84,7 @@
 
 
 class Relay:
-    """Answers and forwards heartbeats, and sends the leader's commands, under the grant of one leader at a time."""
+    """Answers and forwards heartbeats, and sends the leader's commands to workers, under the grant of one leader."""
 
     def __init__(
         self,
@@ -109,19 +111,21 @@
         return Instant(self._clock.seconds())
 
     def active_grant(self) -> RelayGrant | None:
-        """The grant by which this node may answer workers now, or None."""
+        """Return the grant by which this node may answer workers now, or None if there is no valid one."""
         if self._grant is not None and self.now < self._grant_expires_at and self._grant.token >= self._highest_token:
             return self._grant
         return None
 
     def accept_grant(self, grant: RelayGrant) -> None:
-        """Take a leader's grant, unless a higher token than its own was seen."""
+        """Accept a leader's grant, unless a token higher than the grant's was received before."""
         if grant.token < self._highest_token:
             return
         is_new_term = self._grant is None or self._grant.token != grant.token
         if is_new_term:
-            log.info("relays for %s, token %d, %d sessions held", grant.node, grant.token, len(self._workers))
-            # Another term handled the full heartbeats: the next one of each worker is forwarded.
+            log.info(
+                "accepted grant of a new term node=%s token=%d workers=%d", grant.node, grant.token, len(self._workers)
+            )
+            # The full heartbeats were handled by another term, so the next one of each worker must be forwarded.
             for worker in self._workers.values():
                 worker.is_repeatable = False
             self._pending_renewals.clear()
@@ -136,28 +140,30 @@
             self._link().send_relay(RelayedWorkers(self._node, grant.token, part), grant.node)
 
     def on_token_seen(self, token: FencingToken) -> None:
-        """A token was seen, in any message: grants with a lower one are void from now on."""
+        """Record a token that was received in any message; grants with a lower token are void from now on."""
         if token > self._highest_token:
             self._highest_token = token
             if self._grant is not None:
-                log.info("relays for %s no more: token %d was seen", self._grant.node, token)
+                log.info("grant void after a higher token node=%s token=%d", self._grant.node, token)
 
     def request_full_heartbeats(self, request: ResendRequest) -> None:
-        """Forward the next heartbeat of each of these machines, whatever it says."""
+        """Have the next heartbeat of each of these machines forwarded, even if it repeats the last full one."""
         if self._grant is not None and request.token == self._grant.token:
             for machine in request.machines:
                 if (worker := self._workers.get(machine)) is not None:
                     worker.is_repeatable = False
 
     def answer_unchanged(self, heartbeat: Heartbeat) -> ServerResponse | None:
-        """The response to a heartbeat that repeats the last full one; None if it must be forwarded, and without a
-        grant."""
+        """Return the response to a heartbeat that repeats the last full one.
+
+        Returns None if the heartbeat must be forwarded, and if there is no valid grant.
+        """
         self.on_token_seen(heartbeat.token)
         grant = self.active_grant()
         worker = self._workers.get(heartbeat.machine)
         if grant is None or worker is None or not worker.is_repeated_by(heartbeat):
             return None
-        # Moved to the end: the dictionary is in the order of last heartbeats.
+        # The entry moves to the end, which keeps the dictionary in the order of last heartbeats.
         del self._workers[heartbeat.machine]
         self._workers[heartbeat.machine] = worker
         worker.seq, worker.last_heartbeat_at = heartbeat.seq, self.now
@@ -179,19 +185,21 @@
         if grant is not None:
             for part in _split(renewals):
                 self._link().send_relay(HeartbeatRenewals(self._node, grant.token, part), grant.node)
-        self._forget_old()
+        self._remove_expired_workers()
 
-    def _forget_old(self) -> None:
-        oldest = self.now - WORKER_RETENTION_S
+    def _remove_expired_workers(self) -> None:
+        oldest_kept_at = self.now - WORKER_RETENTION_S
         while self._workers:
             machine, worker = next(iter(self._workers.items()))
-            if worker.last_heartbeat_at >= oldest:
+            if worker.last_heartbeat_at >= oldest_kept_at:
                 break
             del self._workers[machine]
 
     async def forward_heartbeat(self, heartbeat: Heartbeat, body: bytes) -> ServerResponse | None:
-        """Forward a heartbeat to the leader; returns its response, 503 if none came, or None if the worker must be
-        redirected as by a node that does not lead."""
+        """Forward a heartbeat to the leader and return the leader's response, or 503 if none arrived.
+
+        Returns None if the worker must be redirected, as by a node that does not lead.
+        """
         grant = self.active_grant()
         if grant is None:
             return None
@@ -202,7 +210,7 @@
                 FORWARD_TIMEOUT_S,
             )
         except (ConnectionFailedError, NoResponseError) as error:
-            log.debug("report of %s not answered: %s", heartbeat.machine, error)
+            log.debug("no response to a forwarded heartbeat machine=%s error=%s", heartbeat.machine, error)
             return error_response(503, "the leader gives no answer", 1)
         current_grant = self.active_grant()
         if current_grant is None or current_grant.token != grant.token:
@@ -216,36 +224,38 @@
     def _keep_worker(self, heartbeat: Heartbeat, is_repeatable: bool) -> None:
         previous = self._workers.pop(heartbeat.machine, None)
         if previous is not None and previous.full_heartbeat.version > heartbeat.version:
-            # A late copy.
+            # A newer full heartbeat was recorded while this one was in flight.
             self._workers[heartbeat.machine] = previous
             return
         self._workers[heartbeat.machine] = RelayedWorker(heartbeat, is_repeatable, heartbeat.seq, self.now)
 
     async def send_commands(self, request: ForwardedCommands) -> CommandsAnswer:
-        """Send the leader's commands to a worker; returns the outcome."""
+        """Send the leader's commands to a worker and return the outcome; without a valid grant nothing is sent."""
         grant = self.active_grant()
         if grant is None or request.token != grant.token:
             return CommandsAnswer(request.number, DeliveryOutcome.NOT_SENT)
         try:
-            reply = await self._http.call("POST", request.address, "/commands", bytes(request.body), COMMAND_TIMEOUT_S)
+            response = await self._http.call(
+                "POST", request.address, "/commands", bytes(request.body), COMMAND_TIMEOUT_S
+            )
         except ConnectionFailedError:
             return CommandsAnswer(request.number, DeliveryOutcome.NOT_SENT)
         except NoResponseError:
             return CommandsAnswer(request.number, DeliveryOutcome.UNANSWERED)
-        return CommandsAnswer(request.number, DeliveryOutcome.ANSWERED, reply.status, _as_json(reply.body))
+        return CommandsAnswer(request.number, DeliveryOutcome.ANSWERED, response.status, _as_json(response.body))
 
 
 Item = TypeVar("Item")
 
 
 def _split(items: list[Item]) -> Iterator[list[Item]]:
-    """Parts that fit one message each."""
-    for first in range(0, len(items), MAX_MACHINES_PER_MESSAGE):
-        yield items[first : first + MAX_MACHINES_PER_MESSAGE]
+    """Yield parts of the list that fit into one message each."""
+    for start in range(0, len(items), MAX_MACHINES_PER_MESSAGE):
+        yield items[start : start + MAX_MACHINES_PER_MESSAGE]
 
 
 def _as_json(body: bytes) -> Raw:
-    """A worker's response to carry in a message; null if it is not JSON."""
+    """Return a worker's response for embedding in a message; null if the response is not JSON."""
     try:
         msgspec.json.decode(body, type=Raw)
     except msgspec.DecodeError:
--- a/meadowcross/relay/service.py
+++ b/meadowcross/relay/service.py
@@ -1,4 +1,4 @@
-"""Hands relaying messages to this node's current role: a relay of a leader, or the leader of relays."""
+"""Dispatches relaying messages by this node's current role: relay of a leader, or leader of relays."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class RelayingTerm(Protocol):
-    """The part of a leader's term that relaying needs."""
+    """The part of a leader's term that handles relayed messages."""
 
     token: FencingToken
     relay_pool: RelayPool | None
@@ -35,16 +35,16 @@
     def handle_heartbeat(
         self, heartbeat: Heartbeat, relay: NodeName | None = None
     ) -> HeartbeatResponse | Redirect | None:
-        """Handle a heartbeat, directly sent or forwarded by `relay`; None: the term does not lead any more."""
+        """Handle a heartbeat that was sent directly or forwarded by `relay`; return None if the term has ended."""
         ...
 
     def is_settled(self, heartbeat: Heartbeat) -> bool:
-        """Whether the same heartbeat again would get no commands and prove nothing."""
+        """Whether a repetition of the heartbeat would get no commands and contain nothing new."""
         ...
 
 
 class RelayService:
-    """Handles relaying messages from the controllers' link."""
+    """Handles the relaying messages that other controllers send."""
 
     def __init__(self, relay: Relay, current_term: Callable[[], RelayingTerm | None]) -> None:
         self._relay = relay
@@ -55,13 +55,13 @@
         return term.relay_pool if term is not None else None
 
     def accept_grant(self, grant: RelayGrant) -> None:
-        """See `Relay.accept_grant`; a leader is nobody's relay."""
+        """See `Relay.accept_grant`; ignored while this node leads, since a leader is never a relay."""
         if self._current_term() is None:
             self._relay.accept_grant(grant)
 
-    def request_full_heartbeats(self, wanted: ResendRequest) -> None:
+    def request_full_heartbeats(self, request: ResendRequest) -> None:
         """See `Relay.request_full_heartbeats`."""
-        self._relay.request_full_heartbeats(wanted)
+        self._relay.request_full_heartbeats(request)
 
     async def send_commands(self, request: ForwardedCommands) -> CommandsAnswer:
         """See `Relay.send_commands`."""
@@ -83,8 +83,10 @@
             pool.on_peer_lost(peer)
 
     def handle_forwarded_heartbeat(self, request: ForwardedHeartbeat) -> HeartbeatAnswer:
-        """Handle a heartbeat that a relay forwarded: 400 if malformed, 421 if it was meant for another term than
-        the one that leads here."""
+        """Handle a heartbeat that a relay forwarded, and return the answer for the relay.
+
+        The status is 400 if the heartbeat is malformed, and 421 if it was forwarded to a term that does not lead here.
+        """
         term = self._current_term()
         try:
             heartbeat = decode_heartbeat(request.heartbeat)
--- a/meadowcross/store/__init__.py
+++ b/meadowcross/store/__init__.py
@@ -1,1 +1,1 @@
-"""The state-service client: reads, transactions, leases, watches, rate limits and group commit."""
+"""Client of the state service: reads, transactions, leases, watches, rate limits and group commit."""
--- a/meadowcross/store/client.py
+++ b/meadowcross/store/client.py
@@ -1,7 +1,7 @@
 """Client of the state service: reads, transactions, leases and watches within the node's rate share.
 
-Each outcome of a transaction has its own error, since what may follow differs: applied, certainly not applied,
-rejected by a condition, or unknown.
+Each unsuccessful outcome of a transaction has its own error, since callers must handle them differently: certainly not
+applied, rejected by a condition, or unknown.
 """
 
 from __future__ import annotations
@@ -44,33 +44,33 @@
 CALL_TIMEOUT_S: Seconds = 2.0
 LIST_TIMEOUT_S: Seconds = 5.0
 WATCH_TIMEOUT_MARGIN_S: Seconds = 5.0
-"""Added to the time that the service may hold a watch open."""
+"""Added to the time for which the service may keep a watch open."""
 MAX_CONCURRENT_READS = 16
 DEFAULT_PAGE_SIZE = 1000
 DEFAULT_SHARE = 0.2
 CONDITIONS_PER_CHANGE = 4
-"""A transaction may hold so many times as many conditions as changes."""
+"""The service's limit of conditions in a transaction, as a multiple of its limit of changes."""
 TRANSACTION_PATH = "/multi"
 
 
 class StoreError(Exception):
-    """Base class of the state service's errors."""
+    """Base class of the errors of requests to the state service."""
 
 
 class StoreUnavailableError(StoreError):
-    """Not executed: an outage, an exhausted rate limit, or no connection."""
+    """The request was not executed, because of an outage, an exhausted rate limit or a missing connection."""
 
 
 class IndeterminateResultError(StoreError):
-    """No answer: the request was executed, or was not, or will be later."""
+    """No answer arrived, so the request may have been executed, may be executed later, or may be lost."""
 
 
 class RequestRejectedError(StoreError):
-    """The service rejects the request as malformed, or its lease has ended."""
+    """The service rejected the request as malformed, or the lease that it names has ended."""
 
 
 class ConflictError(StoreError):
-    """A condition did not hold; nothing was written."""
+    """A condition of the transaction did not hold, so nothing was written; `failed_keys` are the keys concerned."""
 
     def __init__(self, failed_keys: Sequence[str]) -> None:
         super().__init__(", ".join(failed_keys))
@@ -78,31 +78,34 @@
 
 
 class WatchCompactedError(StoreError):
-    """The watch has missed changes: read the keys again."""
+    """The service no longer has all changes since the watched revision, so the keys must be read again."""
 
 
 class StoreEpochGuard(Protocol):
-    """Knows whether the service still holds what was stored in it; see `recovery`."""
+    """Detects whether the service has lost data; implemented in `recovery`."""
 
     def epoch_condition(self) -> Condition | None:
-        """Return the condition of every transaction and comparison. Raises StoreUnavailableError."""
+        """Return the condition that the store epoch is unchanged, for every transaction and comparison.
+
+        Returns None if there is no such condition. Raises StoreUnavailableError.
+        """
 
     def on_epoch_mismatch(self) -> None:
-        """Called when that condition failed."""
+        """Handle a transaction that failed on the epoch condition."""
 
     def on_revision_regressed(self, known: Revision, received: Revision) -> None:
-        """Called when the service answers with a lower revision than one known before the request."""
+        """Handle an answer whose revision is lower than one known before the request was sent."""
 
 
 class Listing(NamedTuple):
-    """All items under a prefix, and the revision before the first of them was read."""
+    """All items under a prefix, and the revision of the store when the first page was read."""
 
     items: list[Item]
     revision: Revision
 
 
 class _RequestBaseline(NamedTuple):
-    """What was known when a request was sent."""
+    """The epoch count and the highest known revision at the time when a request was sent."""
 
     epoch_count: int
     revision: Revision
@@ -123,14 +126,14 @@
         self._facts = facts
         self.max_changes = facts.txn_ops
         self.max_conditions = CONDITIONS_PER_CHANGE * facts.txn_ops - 1
-        """One less than the service takes: the last is kept for the store epoch's condition."""
+        """One less than the service accepts, since one condition is reserved for the store epoch."""
         self.guard: StoreEpochGuard | None = None
         self.highest_revision = Revision(0)
         """The highest revision that the service has reported in this store epoch."""
         self._epoch_count = 0
         self.max_value_bytes = int(facts.value_kb * 1024)
         self.failing_since: float | None = None
-        """The instant since which no request got a proper answer; None after a proper answer."""
+        """The instant of the first failed request since the last proper answer; None if no request has failed since."""
         self._request_counter = RequestCounter(clock)
         self.reset_share(share)
 
@@ -148,7 +151,7 @@
         self._write_bucket.set_rate(self._facts.write_rps * share)
 
     def used_share(self) -> float:
-        """Return the part of the service's limits used lately: of requests or of changes, whichever is larger."""
+        """Return the part of the service's limits used recently (1: all): of requests or changes, the larger."""
         requests = self._request_bucket.used_rate() / self._facts.rps
         writes = self._write_bucket.used_rate() / self._facts.write_rps
         return max(requests, writes)
@@ -156,7 +159,7 @@
     # Reads
 
     async def get(self, key: str, priority: RequestPriority = RequestPriority.USER) -> Item | None:
-        """Return what the key holds, or None if it does not exist."""
+        """Return the key's item, or None if the key does not exist."""
         response = await self._call("GET", "/kv/" + key, None, priority)
         if response.status == HTTPStatus.NOT_FOUND:
             return None
@@ -166,7 +169,10 @@
     async def get_all(
         self, keys: Sequence[str], priority: RequestPriority = RequestPriority.USER
     ) -> Sequence[Item | None]:
-        """Return what each of the keys holds, reading several at a time. Raises the first failure."""
+        """Return the items of the keys in the same order, None for each key that does not exist.
+
+        Reads up to `MAX_CONCURRENT_READS` keys at a time. Raises the first failure.
+        """
         items: list[Item | None] = []
         for start in range(0, len(keys), MAX_CONCURRENT_READS):
             batch = keys[start : start + MAX_CONCURRENT_READS]
@@ -180,7 +186,7 @@
     async def list_page(
         self, prefix: str, limit: int, after: str = "", priority: RequestPriority = RequestPriority.LEADERSHIP
     ) -> Page:
-        """Return at most `limit` items under the prefix in key order, beginning behind the key `after`."""
+        """Return at most `limit` items under the prefix in key order, beginning after the key `after`."""
         since_parameter = f"&since={quote(after, safe='/')}" if after else ""
         path = f"/kv?under={prefix}{since_parameter}&limit={limit}"
         baseline = self._request_baseline()
@@ -198,7 +204,7 @@
     ) -> Listing:
         """Return all items under the prefix, read `page_size` at a time.
 
-        A watch from the listing's revision reports whatever changed while later pages were read.
+        A watch from the listing's revision also reports the changes made while later pages were read.
         """
         items: list[Item] = []
         first_revision: Revision | None = None
@@ -214,7 +220,7 @@
     async def watch(self, prefix: str, since_revision: Revision, wait_s: Seconds) -> WatchResponse:
         """Return the changes under the prefix since the revision, waiting up to `wait_s` for one.
 
-        Raises WatchCompactedError if the service no longer has all of them.
+        Raises WatchCompactedError if the service no longer has all changes since the revision.
         """
         path = f"/watch?under={prefix}&since={since_revision}&waitMs={int(wait_s * 1000)}"
         baseline = _RequestBaseline(self._epoch_count, since_revision)
@@ -240,7 +246,7 @@
         priority: RequestPriority,
         timeout_s: Seconds = CALL_TIMEOUT_S,
     ) -> Revision:
-        """Apply all changes if all conditions hold and the store epoch is still the known one.
+        """Apply all changes if all conditions hold and the store epoch is unchanged.
 
         Returns the revision of the changes. Raises ConflictError if a condition does not hold.
         """
@@ -252,7 +258,7 @@
         except ConflictError as conflict:
             if epoch_condition.key in conflict.failed_keys and self.guard is not None:
                 self.guard.on_epoch_mismatch()
-                message = "the state service's era is another"
+                message = "the store epoch has changed"
                 raise StoreUnavailableError(message) from conflict
             raise
 
@@ -263,7 +269,10 @@
         priority: RequestPriority,
         timeout_s: Seconds = CALL_TIMEOUT_S,
     ) -> Revision:
-        """Apply changes as `transact` does, in any store epoch: for what begins an epoch or must work in each."""
+        """Apply changes as `transact` does, without the condition that the store epoch is unchanged.
+
+        For writes that begin an epoch, and for writes that must succeed in any epoch.
+        """
         if changes:
             await self._write_bucket.acquire(float(len(changes)), priority)
         body = encode(Transaction(list(conditions), list(changes)))
@@ -297,7 +306,7 @@
         """Return a new lease, which ends unless it is renewed within `ttl_s`."""
         body = encode(LeaseRequest(int(ttl_s * 1000)))
         response = await self._call("POST", "/holds", body, RequestPriority.LEADERSHIP)
-        _require_ok(response, "hold")
+        _require_ok(response, "lease grant")
         return decode_lease(response.body).lease_id
 
     async def renew_lease(self, lease_id: LeaseId, timeout_s: Seconds) -> bool:
@@ -306,7 +315,7 @@
         response = await self._call("POST", path, b"{}", RequestPriority.LEADERSHIP, timeout_s)
         if response.status == HTTPStatus.NOT_FOUND:
             return False
-        _require_ok(response, "renewal")
+        _require_ok(response, "lease renewal")
         return True
 
     async def revoke_lease(self, lease_id: LeaseId) -> None:
@@ -316,11 +325,11 @@
     # Consistency and health
 
     def is_answering(self) -> bool:
-        """Whether the last call got a proper answer."""
+        """Whether no request has failed since the last proper answer."""
         return self.failing_since is None
 
     def begin_epoch(self, revision: Revision) -> None:
-        """Forget the highest revision: in a new store epoch revisions may begin anew."""
+        """Reset the highest revision to `revision`: in a new store epoch revisions may restart at a lower value."""
         self._epoch_count += 1
         self.highest_revision = revision
 
@@ -328,10 +337,10 @@
         return _RequestBaseline(self._epoch_count, self.highest_revision)
 
     def _record_revision(self, baseline: _RequestBaseline, received: Revision) -> None:
-        """Compare the revision of an answer with what was known when its request was sent.
+        """Compare the revision of an answer with the highest revision that was known when its request was sent.
 
-        A consistent service never answers with a lower one. Only the knowledge at the time of sending counts:
-        otherwise answers that overtook each other would look like a loss of data.
+        A consistent service never answers with a lower revision. The comparison uses the revision known at the time
+        of sending, because otherwise answers that overtook each other would look like a loss of data.
         """
         if baseline.epoch_count != self._epoch_count:
             return
@@ -350,7 +359,8 @@
     ) -> ClientResponse:
         """Send one request; return its answer unless that reports an overload or an outage.
 
-        A long poll says nothing during an outage, so its missing answer does not count as a failure.
+        A long poll may stay open without an answer during an outage, so a missing answer to one is not recorded as a
+        failure.
         """
         await self._request_bucket.acquire(1.0, priority)
         self._request_counter.count(method, path, priority)
@@ -368,7 +378,7 @@
         return response
 
     def _check_availability(self, response: ClientResponse, is_transaction: bool) -> None:
-        """Raise StoreUnavailableError where the service did not execute the request."""
+        """Raise StoreUnavailableError if the status shows that the service did not execute the request."""
         if response.status == HTTPStatus.TOO_MANY_REQUESTS:
             self._request_bucket.back_off()
             if is_transaction:
--- a/meadowcross/store/command_line.py
+++ b/meadowcross/store/command_line.py
@@ -1,4 +1,4 @@
-"""Access to the state service for command-line programs, within the rate share of a follower."""
+"""Runs a command-line program's command against the state service, within the default rate share of a client."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 def run_with_store(program: str, config_path: str, command: StoreCommand) -> int:
-    """Run the command with the state service that a node's settings file names.
+    """Run the command against the state service whose address is in a node's settings file.
 
-    Returns the exit status: 0, or 2 after one line on standard error. Only once in a process, since a reactor does
-    not start again.
+    Returns the exit status: 0, or 2 after one line on standard error. To be called once in a process, since a stopped
+    reactor cannot be started again.
     """
     try:
         settings = load_settings(config_path)
@@ -49,7 +49,7 @@
 
 
 async def _run_connected(settings: Settings, command: StoreCommand) -> None:
-    from twisted.internet import reactor  # noqa: PLC0415 - installs the reactor, which only a running command needs
+    from twisted.internet import reactor  # noqa: PLC0415 - the import installs the reactor, which only a running command needs
 
     clock: Any = reactor
     await command(StoreClient(clock, HttpClient(clock), Address(settings.outside.state), settings.facts.state))
--- a/meadowcross/store/group_commit.py
+++ b/meadowcross/store/group_commit.py
@@ -1,7 +1,7 @@
-"""Group commit: the leader's writes in one transaction at a time, retried until its outcome is known.
+"""Group commit: stores the leader's writes in one transaction at a time, each retried until it succeeds.
 
-Writes are built anew from memory at each try, so that a retry stores what is true then. Each carries the revisions
-that it rests on as conditions: a transaction that the service applies late fails on them.
+Each attempt builds its writes from the current state in memory, so that a retry stores current values. Each write
+carries the revisions that it depends on as conditions, so that a transaction applied late by the service fails.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 MAX_TRANSACTION_BYTES = 56 * 1024
 CHANGE_OVERHEAD_BYTES = 40
-"""What a change takes on the wire beside its key and value, at the most."""
+"""Upper bound of the bytes that a change takes in a request in addition to its key and value."""
 BACKGROUND_DELAY_S: Seconds = 0.25
 CLOCK_TOLERANCE_S: Seconds = 1e-3
 CONFLICTS_BEFORE_PAUSE = 2
@@ -42,14 +42,14 @@
 
 @dataclass(slots=True)
 class Write:
-    """Changes that are stored together, the conditions they rest on, and what to call with their revision."""
+    """Changes that are stored together, the conditions for storing them, and a callback for their revision."""
 
     conditions: list[Condition]
     changes: list[Change]
     on_stored: Callable[[Revision], None]
 
     def estimate_bytes(self) -> int:
-        """Return an upper bound of the changes' size in a transaction."""
+        """Return an upper bound of the size of the changes in a transaction, in bytes."""
         return sum(
             len(change.key) + CHANGE_OVERHEAD_BYTES + (len(bytes(change.value)) if isinstance(change, Put) else 0)
             for change in self.changes
@@ -57,7 +57,7 @@
 
 
 WriteFactory = Callable[[], Write | None]
-"""Builds a write from the present state; None if there is nothing left to store."""
+"""Builds a write from the current state; returns None if there is nothing left to store."""
 
 
 class _BatchedWrite(NamedTuple):
@@ -83,7 +83,7 @@
         return list(self._conditions.values())
 
     def has_room_for(self, write: Write) -> bool:
-        """Whether the write fits; a first write always does, since it must be tried anyway."""
+        """Whether the write fits into the transaction; a first write always does, since it must be attempted anyway."""
         return not self.writes or (
             len(self.changes) + len(write.changes) <= self._max_changes
             and len(self._conditions) + len(write.conditions) <= self._max_conditions
@@ -91,7 +91,7 @@
         )
 
     def add(self, batched: _BatchedWrite) -> None:
-        """Add a write to the transaction."""
+        """Add a write with its changes and conditions to the transaction."""
         write = batched.write
         self.writes.append(batched)
         self.changes.extend(write.changes)
@@ -105,11 +105,11 @@
 
 
 class GroupCommitter:
-    """Stores the leader's writes, urgent ones at once and the others after a short delay.
+    """Stores the leader's writes: urgent writes at once, background writes after a short delay.
 
-    Every transaction carries `leader_condition`, so that none succeeds after another leader was elected.
-    `reread_keys` must bring the caller's known revisions up to date for the keys named; `on_written` is called
-    with all changes of a transaction before its writes' own callbacks.
+    Every transaction carries `leader_condition`, so that no transaction succeeds after the election of another leader.
+    `reread_keys` must update the revisions that the caller knows for the given keys. `on_written` is called with all
+    changes of a transaction, before the callbacks of its writes.
     """
 
     def __init__(
@@ -135,16 +135,16 @@
         self._is_busy = False
 
     def stop(self) -> None:
-        """End `run` after the transaction in flight; queued writes are not stored."""
+        """Stop `run` after the transaction in flight; queued writes are not stored."""
         self._is_stopped = True
         self._notify()
 
     def is_idle(self) -> bool:
-        """Whether no transaction is in flight or being retried, so that the outcome of all is known."""
+        """Whether no transaction is in flight or being retried, so that the outcome of every transaction is known."""
         return not self._is_busy
 
     def enqueue(self, write_id: Hashable, write_factory: WriteFactory, is_urgent: bool) -> None:
-        """Queue a write, once for each id until it is stored."""
+        """Queue a write unless one with the same id is queued; an urgent write replaces a background write."""
         with self._lock:
             if write_id in self._urgent:
                 return
@@ -158,7 +158,7 @@
             self._notify()
 
     async def run(self) -> None:
-        """Store what is queued until stopped."""
+        """Store queued writes until `stop` is called."""
         failures = conflicts = 0
         while not self._is_stopped:
             if not self._is_due():
@@ -171,15 +171,15 @@
                 failures = 0
                 self._is_busy = False
                 if conflicts > CONFLICTS_BEFORE_PAUSE:
-                    # Each conflict is followed by a re-read, so different writes may conflict one after the other.
-                    # A write that conflicts for ever must not use up the rate share.
+                    # The keys of each conflict are read again, so successive conflicts may be due to different writes.
+                    # A write that conflicts permanently must not use up the rate share.
                     await pause(self._clock, _backoff_s(CONFLICT_PAUSE_S, conflicts - CONFLICTS_BEFORE_PAUSE))
             except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
                 failures += 1
                 log.debug("commit delayed failures=%d error=%s", failures, error)
                 await pause(self._clock, _backoff_s(FAILURE_PAUSE_S, failures))
             except Exception:
-                # A fault in one write must not end the storing of the others.
+                # A fault in one write must not prevent the storage of the other writes.
                 log.exception("commit failed")
                 await pause(self._clock, ERROR_PAUSE_S)
 
@@ -189,7 +189,7 @@
             wake.callback(None)
 
     def _schedule_background(self) -> None:
-        """Wake the loop once background writes are due. The lock must be held."""
+        """Schedule a wake-up of `run` for when background writes are due. The caller must hold the lock."""
         if self._background and self._background_since is None:
             self._background_since = Instant(self._clock.seconds())
             self._clock.callLater(BACKGROUND_DELAY_S, self._notify)
@@ -202,7 +202,7 @@
         return self._clock.seconds() - self._background_since >= BACKGROUND_DELAY_S - CLOCK_TOLERANCE_S
 
     def _collect_batch(self) -> _Batch:
-        """Take writes off the queues, urgent ones first, up to a transaction's limits."""
+        """Take writes from the queues, urgent writes first, up to the limits of a transaction."""
         batch = _Batch(self._leader_condition, self._store.max_changes, self._store.max_conditions)
         with self._lock:
             self._fill_batch(batch, self._urgent, is_urgent=True)
@@ -223,7 +223,7 @@
             batch.add(_BatchedWrite(write_id, factory, write, is_urgent))
 
     async def _commit_batch(self) -> bool:
-        """Store what is due, if anything is; return False if a condition did not hold."""
+        """Store one batch of queued writes, if there are any; return False if a condition did not hold."""
         batch = self._collect_batch()
         if not batch.writes:
             return True
@@ -239,7 +239,7 @@
             await self._reread_changed(conditions)
             raise
         except RequestRejectedError:
-            # A write that the service rejects must not hold up the others.
+            # Single commits isolate the rejected write, so that it does not block the other writes.
             self._commits_singly = True
             raise
         finally:
@@ -253,22 +253,22 @@
         return True
 
     async def _reread_changed(self, conditions: Sequence[Condition]) -> None:
-        """Find out what became of a transaction without an answer.
+        """Read the keys again that changed since a transaction without an answer was built.
 
-        It may still be applied late. Each write has its own key's revision as a condition, so after this either the
-        transaction is visible or the retry makes it fail. One comparison tells which keys to read: reading all of
-        them kept a leader from placing for seconds while the state service was slow.
+        The service may still apply the transaction late. Each write has the revision of its own key as a condition, so
+        afterwards either the transaction is visible or the retry makes it fail. One comparison determines which keys to
+        read: reading all keys kept a leader from placing tasks for seconds while the state service was slow.
         """
         changed_keys = await self._store.find_changed_keys(conditions, RequestPriority.PLACEMENT)
         await self._reread_keys([condition.key for condition in conditions if condition.key in changed_keys])
 
     def _requeue(self, batch: _Batch) -> None:
-        """Queue the writes of a failed transaction again, unless they were queued anew meanwhile."""
+        """Queue the writes of a failed transaction again, unless newer writes with the same ids are queued."""
         with self._lock:
             for batched in batch.writes:
                 queue = self._urgent if batched.is_urgent else self._background
                 queue.setdefault(batched.write_id, batched.factory)
-            # Otherwise a failed write that no other follows would wait for ever.
+            # Otherwise a failed write would wait forever if no other write is queued later.
             self._schedule_background()
 
 
--- a/meadowcross/store/messages.py
+++ b/meadowcross/store/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the state service and a node. The service's field names stay in this module."""
+"""Messages between the state service and a node; only this module uses the field names of the service."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Item(Struct):
-    """A stored key with its value; `mod_revision` is the revision of its last change."""
+    """A stored key with its value; `mod_revision` is the revision of the key's last change."""
 
     key: str
     value: Raw = field(name="data")
@@ -20,7 +20,7 @@
 
 
 class Page(Struct):
-    """Part of a listing, in key order."""
+    """One page of a listing, in key order; `revision` is the revision of the store when the page was read."""
 
     items: list[Item]
     revision: Revision = field(name="ledger")
@@ -75,7 +75,7 @@
 
 
 class Put(Struct, omit_defaults=True, frozen=True):
-    """Writes a key, which is deleted when its lease ends, if it has one."""
+    """Writes a key. A key with a lease is deleted when the lease ends."""
 
     key: str = field(name="write")
     value: Raw = field(name="data")
@@ -92,14 +92,14 @@
 
 
 class Transaction(Struct):
-    """Changes that are applied together if all conditions hold."""
+    """Changes that the service applies together if all conditions hold, and otherwise not at all."""
 
     conditions: list[Condition] = field(name="if")
     changes: list[Put | Delete | dict[str, Any]] = field(name="writes")
 
 
 class LeaseRequest(Struct):
-    """Asks for a lease that ends unless it is renewed within its time to live."""
+    """Requests a lease that ends unless it is renewed within its time to live, in milliseconds."""
 
     ttl_ms: int = field(name="ttlMs")
 
@@ -108,7 +108,7 @@
 
 
 def encode_raw(value: Any) -> Raw:
-    """Encode a value to be stored."""
+    """Encode a value as the raw JSON that a `Put` carries."""
     return Raw(encode(value))
 
 
--- a/meadowcross/store/request_counter.py
+++ b/meadowcross/store/request_counter.py
@@ -13,11 +13,11 @@
 
 log = get_logger("store")
 
-LOG_EVERY_S: Seconds = 10.0
+LOG_INTERVAL_S: Seconds = 10.0
 
 
 class RequestCause(NamedTuple):
-    """What a request is for: its method, endpoint, the family of keys that it names, and its priority."""
+    """A category of requests: method, endpoint, first part of the requested key or prefix, and priority."""
 
     method: str
     endpoint: str
@@ -29,7 +29,7 @@
 
 
 def classify_request(method: str, path: str, priority: RequestPriority) -> RequestCause:
-    """Return the cause of a request by its path: `/kv/j/wk-1` and `/kv?under=j/` both belong to the family `j`."""
+    """Return the cause of a request by its path: `/kv/j/wk-1` and `/kv?under=j/` both have the key family `j`."""
     endpoint, _, query = path.partition("?")
     parts = endpoint.split("/")
     key_family = ""
@@ -42,7 +42,10 @@
 
 
 class RequestCounter:
-    """Requests by cause since the last log line, which is written at debug with the first request that is due."""
+    """Counts requests by cause, and logs the counts at debug level at most once in `LOG_INTERVAL_S`.
+
+    The log line is written by the first request after that time, so there is none without requests.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -50,12 +53,12 @@
         self._logged_at = Instant(clock.seconds())
 
     def count(self, method: str, path: str, priority: RequestPriority) -> None:
-        """Count one request; a single comparison unless the log is at debug."""
+        """Count one request; does nothing unless the log is at debug level."""
         if not log.isEnabledFor(DEBUG):
             return
         self._counts[classify_request(method, path, priority)] += 1
         now = Instant(self._clock.seconds())
-        if now - self._logged_at >= LOG_EVERY_S:
+        if now - self._logged_at >= LOG_INTERVAL_S:
             log.debug("store requests elapsed_s=%.1f counts=%s", now - self._logged_at, self)
             self._counts.clear()
             self._logged_at = now
--- a/tests/store/test_client.py
+++ b/tests/store/test_client.py
@@ -1,4 +1,4 @@
-"""The state-service client."""
+"""The client of the state service: rate limiting after a rejected request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 def test_rejected_transaction_backs_off_both_buckets(world):
     world.net.hosts["state:1"] = lambda *request: (429, {})
-    before = world.store._request_bucket.rate, world.store._write_bucket.rate
-    outcome = world.run(world.store.transact([], [Put("k", encode_raw(1))], RequestPriority.PLACEMENT))
-    assert outcome.check(StoreUnavailableError)
-    assert world.store._request_bucket.rate < before[0] and world.store._write_bucket.rate < before[1]
+    rates_before = world.store._request_bucket.rate, world.store._write_bucket.rate
+    failure = world.run(world.store.transact([], [Put("k", encode_raw(1))], RequestPriority.PLACEMENT))
+    assert failure.check(StoreUnavailableError)
+    assert world.store._request_bucket.rate < rates_before[0] and world.store._write_bucket.rate < rates_before[1]
--- a/tests/store/test_request_counter.py
+++ b/tests/store/test_request_counter.py
@@ -1,4 +1,4 @@
-"""Requests to the state service by cause."""
+"""Classification of requests to the state service by cause."""
 
 from __future__ import annotations
 
