--- a/meadowcross/replication/__init__.py
+++ b/meadowcross/replication/__init__.py
@@ -1,1 +1,1 @@
-"""What a node that does not lead knows of the cluster: a replica of the store, and the leader's hints."""
+"""Replication of state to followers: a replica of the store in memory, and the leader's hints."""
--- a/meadowcross/replication/consistency_check.py
+++ b/meadowcross/replication/consistency_check.py
@@ -1,7 +1,7 @@
-"""Compares a replica with the store, in the background, by transactions that write nothing.
+"""Compares a replica with the store in the background, by transactions that write nothing.
 
-A term begins with the replica at once; every write is conditional anyway. This check finds what conditions would only
-find one by one, and late: a key that the replica has and the store has not, or at another revision.
+A term starts from the replica without waiting for this check, since every write is conditional. The check finds keys
+that the store lacks or has at another revision; conditions of writes would find them one at a time, and late.
 """
 
 from __future__ import annotations
@@ -19,23 +19,24 @@
 log = get_logger("replica")
 
 COMPARISON_DURATION_S: Seconds = 8.0
-"""All keys are compared within this time, as long as the store answers."""
+"""Time over which the comparison of all keys is spread, if the store answers every request."""
 RETRY_DELAY_S: Seconds = 1.0
 MAX_ATTEMPTS = 3
-"""Of a request without a result; keys that differ are compared so often again, since they may be being written."""
+"""Attempts of a request without a result. Also the number of repeated comparisons of keys that differ, since a key may
+have been compared during a write."""
 CHECKED_PREFIXES = ("j/", "t/", "w/")
 
 
 async def find_differences(
     clock: Clock, store: StoreClient, replica: StoreReplica, is_still_wanted: Callable[[], bool]
 ) -> list[str] | None:
-    """The keys that still differ after some retries, sorted.
+    """Return the keys that still differ after `MAX_ATTEMPTS` repeated comparisons, sorted.
 
-    None: `is_still_wanted` returned False, or the store gave no answer for long.
+    Returns None if `is_still_wanted` returned False, or if a request got no result in `MAX_ATTEMPTS` attempts.
     """
     keys = [item.key for prefix in CHECKED_PREFIXES for item in replica.items_under(prefix)]
     batch_size = store.max_conditions
-    batches = [keys[first : first + batch_size] for first in range(0, len(keys), batch_size)]
+    batches = [keys[start : start + batch_size] for start in range(0, len(keys), batch_size)]
     suspected: dict[str, Revision] = {}
     for batch in batches:
         differing = await _compare_batch(clock, store, replica, batch, is_still_wanted)
@@ -50,7 +51,7 @@
         differing = await _compare_batch(clock, store, replica, list(suspected)[:batch_size], is_still_wanted)
         if differing is None:
             return None
-        # At another revision now in the replica: the key was being written when it was compared.
+        # A key whose revision in the replica has changed was compared during a write.
         suspected = {key: revision for key, revision in differing.items() if suspected.get(key) == revision}
     return sorted(suspected)
 
@@ -58,11 +59,11 @@
 async def _compare_batch(
     clock: Clock, store: StoreClient, replica: StoreReplica, keys: list[str], is_still_wanted: Callable[[], bool]
 ) -> dict[str, Revision] | None:
-    """Those of the keys that differ, with the replica's revisions; None as for `find_differences`."""
+    """Return the keys that differ, with their revisions in the replica; None as for `find_differences`."""
     for _ in range(MAX_ATTEMPTS):
         if not is_still_wanted():
             return None
-        # The replica is read anew at each attempt: some keys were written or dropped since.
+        # Each attempt reads the replica again, because keys may have been written or deleted since.
         revisions = {key: item.mod_revision for key in keys if (item := replica.get(key)) is not None}
         try:
             changed = await store.find_changed_keys(
--- a/meadowcross/replication/follower.py
+++ b/meadowcross/replication/follower.py
@@ -1,7 +1,7 @@
-"""Follows the store: one full read, then its feed of changes, at a bounded rate.
+"""Keeps a replica in sync with the store by one full read and then by polling the change feed at a bounded rate.
 
-A node that leads is told of its own writes instead, which costs no request, and follows again when its term ends. A
-node that is short of memory drops the replica; one whose own timers come late polls less often.
+On the leader the term reports its own writes instead, which needs no requests; polling resumes after a full read when
+the term ends. A replica that needs too much memory is discarded; a process whose timers run late polls less often.
 """
 
 from __future__ import annotations
@@ -31,32 +31,34 @@
 log = get_logger("replica")
 
 POLL_INTERVAL_S: Seconds = 0.4
-"""Between two polls of the feed: two and a half requests a second at the most, whatever changes."""
+"""Time between two polls of the change feed: at most 2.5 requests per second, independent of the rate of changes."""
 MAX_POLL_INTERVAL_S: Seconds = 2.0
 OVERLOAD_DELAY_S: Seconds = 0.5
-"""A timer this late shows that this process has no time to spare."""
+"""A timer that runs later than this shows that the process is overloaded."""
 WATCH_TIMEOUT_S: Seconds = 5.0
 RETRY_DELAY_S: Seconds = 1.0
 ESTABLISHED_LEADER_S: Seconds = 5.0
-"""Peers that noticed a loss report it with their next heartbeat, a second later at the most, once connected."""
+"""Time after which a leader knows of data losses that peers detected: connected peers report a loss with their next
+heartbeat, at most one second later."""
 
 
 class FollowerState(Enum):
-    """What a follower does; users see the value in the answers about a node's health."""
+    """State of a follower; the values are part of the response to health requests."""
 
     SYNCING = "cold"
-    """All is to be read."""
+    """A full read is in progress or about to begin."""
     IN_SYNC = "warm"
-    """The replica follows the feed."""
+    """The replica follows the change feed."""
     LEADING = "leading"
-    """This node leads and reports its own writes."""
+    """This node leads, and its term reports its own writes."""
     FROZEN = "frozen"
-    """The store has lost data: what was followed before is kept for the recovery."""
+    """The store has lost data, and the replica from before the loss is kept for the recovery."""
     OFF = "off"
+    """The replica is not used any more, because it was too large or the store rejected a request."""
 
 
 def _ignore_ended_job(key: str, value: Raw) -> None:
-    """Nobody wants to know."""
+    """Default of `on_job_ended`: ignore ended jobs."""
 
 
 class ReplicaFollower:
@@ -69,9 +71,9 @@
         max_bytes: int,
         on_job_ended: Callable[[str, Raw], None] = _ignore_ended_job,
     ) -> None:
-        """`on_job_ended` gets each ended job's key and record once they are in the replica: followed, or written here.
+        """`on_job_ended` is called with the key and record of each ended job after the replica has them.
 
-        A replica that would take more than `max_bytes` is dropped for good.
+        A replica that takes more than `max_bytes` is discarded, and the state becomes OFF for good.
         """
         self._clock = clock
         self._store = store
@@ -80,29 +82,29 @@
         self._activity = LeaderActivity(clock)
         self._poll_interval_s: Seconds = POLL_INTERVAL_S
         self._resumed: Deferred[None] | None = None
-        """What `run` awaits while nothing is followed."""
+        """Awaited by `run` while the state is LEADING or FROZEN."""
         self._synced_at = Instant(0.0)
         self._began_leading_at = Instant(0.0)
         self._is_own_term_replica = False
-        """The replica is that of this node's last term, not read since."""
+        """Whether the replica is that of this node's last term and was not read from the store since."""
         self.replica = StoreReplica()
         self.state = FollowerState.SYNCING
         self.pre_loss_replica: PreLossReplica | None = None
         self.resync_count = 0
-        """How often the replica was read again after the first time."""
+        """How often the replica was discarded to be read again."""
 
     @property
     def now(self) -> Instant:
-        """The clock's time."""
+        """The instant on this node's clock."""
         return Instant(self._clock.seconds())
 
     @property
     def is_in_sync(self) -> bool:
-        """Whether the replica follows the feed."""
+        """Whether the replica follows the change feed."""
         return self.state is FollowerState.IN_SYNC
 
     def get(self, key: str) -> Item | None:
-        """The replica's item, which may lag behind the store."""
+        """Return the replica's item, which may be older than the item in the store; None if the replica has none."""
         return self.replica.get(key)
 
     def _set_state(self, state: FollowerState, reason: str) -> None:
@@ -130,16 +132,16 @@
                 else:
                     await self._poll_after_interval()
             except WatchCompactedError:
-                self.resync("the feed no longer reaches back")
+                self.resync("change feed compacted")
             except (StoreUnavailableError, IndeterminateResultError) as error:
                 log.debug("replica_waits error=%s", error)
                 await pause(self._clock, RETRY_DELAY_S)
             except RequestRejectedError as error:
-                self._set_state(FollowerState.OFF, f"the state service refuses to be followed: {error}")
+                self._set_state(FollowerState.OFF, f"the state service rejected a request: {error}")
             except Exception:
-                # The replica may be half changed: it is read again.
+                # Changes may have been applied in part, so the replica is read again.
                 log.exception("replica_error")
-                self.resync("an error")
+                self.resync("unexpected error")
                 await pause(self._clock, RETRY_DELAY_S)
 
     async def _read_all(self) -> None:
@@ -150,13 +152,13 @@
         replica.load(items, revision)
         self.replica, self._is_own_term_replica = replica, False
         self._synced_at = self.now
-        self._set_state(FollowerState.IN_SYNC, "read")
+        self._set_state(FollowerState.IN_SYNC, "all keys read")
         self._enforce_size_limit()
 
     async def _poll_after_interval(self) -> None:
         due_at = self.now + self._poll_interval_s
         await pause(self._clock, self._poll_interval_s)
-        # An overloaded process polls less often, down to a bound, until it keeps up again.
+        # An overloaded process doubles the interval up to `MAX_POLL_INTERVAL_S`, until its timers run on time again.
         is_late = self.now - due_at > OVERLOAD_DELAY_S
         if is_late:
             self._poll_interval_s = min(MAX_POLL_INTERVAL_S, 2 * self._poll_interval_s)
@@ -166,25 +168,28 @@
             await self._poll_feed(WATCH_TIMEOUT_S)
 
     async def _poll_feed(self, timeout_s: Seconds) -> None:
-        """Apply what has changed; waits at most so long for a change. Raises what the store client raises."""
+        """Apply the changes since the replica's revision, waiting at most `timeout_s` for one.
+
+        Raises the errors of `StoreClient.watch`.
+        """
         requested_at = self.now
         replica = self.replica
-        feed = await self._store.watch("", replica.revision, timeout_s)
+        response = await self._store.watch("", replica.revision, timeout_s)
         if replica is not self.replica or self.state is not FollowerState.IN_SYNC:
             return
-        self._activity.record_poll(requested_at, feed.events, replica.revision)
-        replica.apply_events(feed.events, feed.revision)
-        for event in feed.events:
+        self._activity.record_poll(requested_at, response.events, replica.revision)
+        replica.apply_events(response.events, response.revision)
+        for event in response.events:
             if event.written_key is not None:
                 self._report_if_ended(event.written_key, event.value)
         self._enforce_size_limit()
 
     async def _poll_or_resync(self, timeout_s: Seconds) -> None:
-        """As `_poll_feed`, but a feed that no longer reaches back makes the replica be read again."""
+        """Poll as `_poll_feed` does, but read the replica again if the change feed no longer has all changes."""
         try:
             await self._poll_feed(timeout_s)
         except WatchCompactedError:
-            self.resync("the feed no longer reaches back")
+            self.resync("change feed compacted")
 
     def _report_if_ended(self, key: str, value: Raw) -> None:
         if key.startswith(ENDED_JOBS_PREFIX):
@@ -193,14 +198,14 @@
     def _enforce_size_limit(self) -> None:
         if self.replica.size_bytes > self._max_bytes:
             self.replica = StoreReplica()
-            self._set_state(FollowerState.OFF, f"it would take more than {self._max_bytes // 2**20} MB")
+            self._set_state(FollowerState.OFF, f"replica larger than {self._max_bytes // 2**20} MB")
 
     def has_followed_for(self, duration_s: Seconds) -> bool:
-        """Whether the replica was read at least so long ago and has been kept up to date since."""
+        """Whether the replica was read at least `duration_s` ago and has been kept up to date since."""
         return self.state in (FollowerState.IN_SYNC, FollowerState.LEADING) and self.now - self._synced_at >= duration_s
 
     def resync(self, reason: str) -> None:
-        """The replica can't be relied on: it is read again before it is used."""
+        """Discard a replica that may be wrong; it is read again before it is used."""
         if self.state in (FollowerState.IN_SYNC, FollowerState.LEADING):
             self.resync_count += 1
             self.replica = StoreReplica()
@@ -212,28 +217,31 @@
         if resumed is not None:
             resumed.callback(None)
 
-    # For judging whether the leader still works
+    # Evidence for deciding whether the leader has failed
 
     def leader_writes_per_s(self) -> float:
-        """Transactions a second that a leader stored lately."""
+        """Return the leader's transactions per second over the last few seconds; see `LeaderActivity`."""
         return self._activity.writes_per_s()
 
     def leader_silence_s(self, since_at: Instant) -> Seconds:
-        """For how long, from `since_at` on, the store is known to have taken nothing from a leader."""
+        """Return for how long, from `since_at` on, the store is known to have received no write of a leader."""
         return self._activity.silence_s(since_at)
 
     async def poll_now(self, timeout_s: Seconds) -> None:
-        """Poll the feed now, beside the usual interval. Raises what the store client raises."""
+        """Poll the change feed now, in addition to the regular polls.
+
+        Raises the errors of `StoreClient.watch`, except WatchCompactedError.
+        """
         if self.is_in_sync:
             await self._poll_or_resync(timeout_s)
 
     # For a new leader
 
     async def catch_up_to(self, leader_revision: Revision) -> StoreReplica | None:
-        """The replica, complete up to the revision of the new leader's own key.
+        """Return the replica, complete up to the revision of the new leader's own key.
 
-        It holds all that earlier leaders stored then. None: the store must be read. Raises what the store client
-        raises.
+        It then contains everything that earlier leaders stored. Returns None if the store must be read instead. Raises
+        the errors of `StoreClient.watch`, except WatchCompactedError.
         """
         if not self.is_in_sync:
             return None
@@ -248,14 +256,15 @@
         return replica
 
     def begin_leading(self, replica: StoreReplica, has_ended_jobs: bool) -> None:
-        """A term begins with this replica, and reports what it writes and sees.
+        """Use this replica for a term of this node, which reports its writes from now on.
 
-        Without `has_ended_jobs`, ended jobs, which no term needs, are read in the background.
+        Without `has_ended_jobs` the replica lacks ended jobs; a term does not need them, so they are read in the
+        background.
         """
         if self.state is not FollowerState.OFF:
             self.replica = replica
             self._began_leading_at = self.now
-            self._set_state(FollowerState.LEADING, "this node leads")
+            self._set_state(FollowerState.LEADING, "term began")
             if not has_ended_jobs:
                 Deferred.fromCoroutine(self._read_ended_jobs(replica))
 
@@ -267,13 +276,13 @@
                 log.debug("ended_jobs_wait error=%s", error)
                 await pause(self._clock, RETRY_DELAY_S)
                 continue
-            # They are never dropped, so what is read late can undo nothing.
+            # Ended jobs are never deleted, so items that are read late cannot undo a deletion.
             for item in items:
                 replica.put(item.key, item.value, item.mod_revision)
             return
 
     def apply_own_write(self, revision: Revision, changes: Sequence[Put | Delete]) -> None:
-        """This node's own transaction was stored at this revision."""
+        """Apply the changes of a transaction of this node that was stored at this revision."""
         if self.state is not FollowerState.LEADING:
             return
         for change in changes:
@@ -284,7 +293,7 @@
                 self.replica.drop(change.key, revision)
 
     def apply_read(self, key: str, item: Item | None) -> None:
-        """What a key holds, read after a transaction whose outcome was not known."""
+        """Apply a key's item, or its absence, as read from the store after a transaction with an unknown outcome."""
         if self.state is not FollowerState.LEADING:
             return
         if item is not None:
@@ -294,63 +303,64 @@
             self.replica.drop(key, Revision(current.mod_revision + 1))
 
     def apply_submission(self, key: str, value: Raw, revision: Revision) -> None:
-        """This node stored something for a user, which nobody else may know yet; the feed will show it again.
+        """Apply a record that this node stored for a user; the change feed will report it again.
 
-        Where the feed was faster it has already shown what became of it.
+        Ignored if the replica has reached the revision, since it may contain a later change of the record.
         """
         if self.state in (FollowerState.IN_SYNC, FollowerState.LEADING) and revision > self.replica.revision:
             self.replica.put(key, value, revision)
 
     def apply_events(self, events: Sequence[Event], revision: Revision) -> None:
-        """What users stored, as the term's own watch of open jobs shows it."""
+        """Apply users' changes, as reported by the term's watch of open jobs."""
         if self.state is not FollowerState.LEADING:
             return
         for event in events:
             key = event.written_key
-            # A job that ended by our own transaction is over, though the watch shows only now how it changed before.
+            # The watch may report an earlier change of a job that has since ended by a transaction of this node.
             if key is not None and self.replica.get(ENDED_JOBS_PREFIX + key[2:]) is None:
                 self.replica.put(key, event.value, event.mod_revision)
         self.replica.revision = max(self.replica.revision, revision)
 
     def end_leading(self) -> None:
-        """The term is over.
+        """Start a full read after the end of this node's term.
 
-        Transactions of this node without an answer may have been stored, so all is read again; until then the replica
-        stays as it was, and is not used.
+        The read is necessary because transactions of this node without an answer may have been stored. Until it is
+        complete, the replica stays unchanged and is not used.
         """
         if self.state is FollowerState.LEADING:
             self._is_own_term_replica = True
-            self._set_state(FollowerState.SYNCING, "the term is over")
+            self._set_state(FollowerState.SYNCING, "term ended")
             self._resume()
 
     # For a recovery after a loss of data
 
     def followed_revision(self) -> Revision:
-        """For comparing who knows most of the store as it was before a loss; a leader knows all."""
+        """Return the revision by which nodes compare whose replica from before a data loss is the most recent."""
         pre_loss = self.pre_loss_replica
         return pre_loss.known_revision() if pre_loss is not None else self.replica.revision
 
     def freeze(self, epoch: int, is_loss_older: bool) -> None:
-        """The store has lost data in this epoch: keep what was followed as it is, and follow nothing.
+        """Stop following the store, which has lost data in this epoch, and keep the replica unchanged.
 
-        With `is_loss_older` the loss came before, so the replica is of what was left and not worth keeping.
+        With `is_loss_older` the loss happened before the replica was read, so the replica lacks the lost data and is
+        not kept.
         """
         if self.state in (FollowerState.OFF, FollowerState.FROZEN):
             return
         if is_loss_older:
-            self._set_state(FollowerState.FROZEN, "the state service lost data before it was followed")
+            self._set_state(FollowerState.FROZEN, "the state service lost data before the replica was read")
             return
         is_own_replica = self._is_own_replica()
         if self.pre_loss_replica is None or is_own_replica:
             self.pre_loss_replica = PreLossReplica(self.replica, epoch, is_own_replica)
         else:
-            # Lost again, in the middle of a recovery.
+            # Data was lost again during a recovery.
             self.pre_loss_replica.overlay(self.replica)
         self._set_state(FollowerState.FROZEN, "the state service has lost data")
 
     def _is_own_replica(self) -> bool:
-        """Whether the replica is that of a term of this node, and lacks nothing that was stored."""
-        # Whoever just began to lead may have begun on what was left already: others noticed before.
+        """Whether the replica is that of a term of this node, and therefore contains everything that was stored."""
+        # A term that has just begun may have started from a store that had lost data, if other nodes noticed it first.
         if self.now - self._began_leading_at < ESTABLISHED_LEADER_S:
             return False
         if self.state is FollowerState.LEADING:
@@ -358,14 +368,14 @@
         return self.state is FollowerState.SYNCING and self._is_own_term_replica
 
     def unfreeze(self) -> None:
-        """All is back, or known to be gone: read and follow the store as it is now."""
+        """Discard the pre-loss replica once the recovery is complete, then read and follow the store again."""
         self.pre_loss_replica = None
         if self.state is FollowerState.FROZEN:
             self.replica = StoreReplica()
-            self._set_state(FollowerState.SYNCING, "the recovery is done")
+            self._set_state(FollowerState.SYNCING, "recovery complete")
             self._resume()
 
     def matches_counts(self, revision: Revision, counts: KeyCounts) -> bool:
-        """Compare with what the leader counted; True also where that revision is not remembered."""
+        """Whether the counts equal those of the leader at this revision; also True if the own counts are not kept."""
         own_counts = self.replica.counts_at(revision) if self.is_in_sync else None
         return own_counts is None or own_counts == counts
--- a/meadowcross/replication/leader_activity.py
+++ b/meadowcross/replication/leader_activity.py
@@ -1,4 +1,4 @@
-"""How often a leader writes to the store, and for how long it has not, as the feed of changes shows it."""
+"""Measures a leader's write rate and write silence from the store's change feed."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from meadowcross.store.messages import Event
 
 WRITE_RATE_WINDOW_S: Seconds = 5.0
-"""The leader's writes are counted over so long."""
+"""Period over which the leader's writes are counted."""
 ENDED_JOBS_PREFIX = "e/"
 LEADER_PREFIXES = ("t/", "w/", ENDED_JOBS_PREFIX)
-"""Only a leader writes below these."""
+"""Prefixes of keys that only a leader writes."""
 
 
 class _ObservedWrites(NamedTuple):
-    """The transactions of a leader that one answer of the feed showed."""
+    """The number of a leader's transactions in one answer of the change feed."""
 
     observed_at: Instant
     transactions: int
 
 
 class LeaderActivity:
-    """Evidence for whoever must judge whether the leader still works."""
+    """Evidence for deciding whether the leader has failed."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -34,9 +34,9 @@
         self._last_write_at = Instant(0.0)
 
     def record_poll(self, requested_at: Instant, events: Sequence[Event], since_revision: Revision) -> None:
-        """Take note of an answer of the feed, asked for at `requested_at` with the replica at `since_revision`."""
+        """Record an answer of the change feed, requested at `requested_at` with the replica at `since_revision`."""
         now = Instant(self._clock.seconds())
-        # An answer without events only shows that there was nothing when it was asked for.
+        # An answer without events only shows that there were no changes at the time of the request.
         self._last_poll_at = now if events else max(self._last_poll_at, requested_at)
         revisions = {
             event.mod_revision
@@ -50,11 +50,11 @@
             self._writes.popleft()
 
     def writes_per_s(self) -> float:
-        """Transactions a second that a leader stored lately."""
+        """Return the leader's transactions per second over the last `WRITE_RATE_WINDOW_S`."""
         now = self._clock.seconds()
         recent = sum(writes.transactions for writes in self._writes if now - writes.observed_at <= WRITE_RATE_WINDOW_S)
         return recent / WRITE_RATE_WINDOW_S
 
     def silence_s(self, since_at: Instant) -> Seconds:
-        """For how long, from `since_at` on, the store is known to have taken nothing from a leader."""
+        """Return for how long, from `since_at` on, the store is known to have received no write of a leader."""
         return max(0.0, self._last_poll_at - max(since_at, self._last_write_at))
--- a/meadowcross/replication/pre_loss_replica.py
+++ b/meadowcross/replication/pre_loss_replica.py
@@ -1,4 +1,4 @@
-"""A replica of the store from before it lost data, kept until the recovery is over."""
+"""Keeps a replica of the store from before a data loss until the recovery is complete."""
 
 from __future__ import annotations
 
@@ -10,21 +10,27 @@
 
 @dataclass(frozen=True, slots=True)
 class PreLossReplica:
-    """What a node knew of the store when it lost data."""
+    """A node's replica of the store at the time of a data loss, and the store epoch that was lost."""
 
     replica: StoreReplica
     epoch: int
     is_complete: bool
-    """This node led: its replica lacks nothing that was stored."""
+    """Whether the replica contains everything that was stored, because this node was the leader."""
 
     def known_revision(self) -> Revision:
-        """For comparing who knows most; who led knows all, also what came after the replica's revision."""
+        """Return the revision by which nodes compare whose replica is the most recent.
+
+        A complete replica also contains writes after its own revision, so one above its newest revision is returned.
+        """
         if self.is_complete:
             return Revision(self.replica.newest_revision + 1)
         return self.replica.revision
 
     def overlay(self, later: StoreReplica) -> None:
-        """Put what a recovery had restored on top, where data was lost again in the middle of it."""
+        """Add the items of `later`, a replica that was followed during a recovery in which data was lost again.
+
+        The revisions of `later` are shifted above those of this replica, so that its items replace older ones.
+        """
         base_revision = self.replica.revision
         for item in later.all_items():
             self.replica.put(item.key, item.value, Revision(base_revision + item.mod_revision))
--- a/meadowcross/replication/store_replica.py
+++ b/meadowcross/replication/store_replica.py
@@ -1,7 +1,7 @@
-"""A replica of the store in memory: each key with its revision and value, complete up to a revision.
+"""Keeps a replica of the store in memory: each key with its revision and value, complete up to a revision.
 
-Revisions only grow, so a change that is older than the replica never undoes a newer one. The replica makes reading
-faster; whatever is decided from it is written under conditions that the store checks.
+A change is applied only if its revision is higher than that of the key, so a late change never undoes a newer one.
+The replica makes reads faster; decisions based on it are written under conditions that the store checks.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from meadowcross.store.messages import Event, Item
 
 KEY_PREFIXES = ("j/", "t/", "w/", "e/")
-"""Of open jobs, chunks of tasks, machines and ended jobs, in the order of `KeyCounts`."""
+"""Prefixes of open jobs, chunks of tasks, machines and ended jobs, in the order of `KeyCounts`."""
 OTHER_KEYS = ""
-"""Stands for all keys without one of the prefixes."""
+"""Represents all keys with none of `KEY_PREFIXES`."""
 MAX_REMEMBERED_COUNTS = 500
-"""The counts are kept for so many revisions, to be compared with what another node reports for one of them."""
+"""Number of revisions whose counts are kept for comparison with the counts that another node reports."""
 ENTRY_OVERHEAD_BYTES = 220
-"""What an item takes in this process beside its key and value, about."""
+"""Approximate memory that an item takes in this process in addition to its key and value."""
 
 
 class KeyCounts(NamedTuple):
-    """How many keys there are below each prefix."""
+    """The number of keys with each of `KEY_PREFIXES`."""
 
     open_jobs: int
     chunks: int
@@ -39,39 +39,39 @@
 
     def __init__(self) -> None:
         self.revision = Revision(0)
-        """All changes up to it are in; some later ones may be."""
+        """All changes up to this revision are applied; some later ones may be, too."""
         self.newest_revision = Revision(0)
-        """The highest revision of any key that it has, or had."""
+        """The highest revision of any change that was received, including deletions."""
         self.size_bytes = 0
-        """Memory taken, about."""
+        """Approximate memory that the items take."""
         self._items_by_prefix: dict[str, dict[str, Item]] = {name: {} for name in (*KEY_PREFIXES, OTHER_KEYS)}
         self._counts_by_revision: OrderedDict[Revision, KeyCounts] = OrderedDict()
 
-    def _items_beside(self, key: str) -> dict[str, Item]:
-        """The items that share the key's prefix."""
+    def _items_with_prefix_of(self, key: str) -> dict[str, Item]:
+        """Return the items whose keys have the same prefix as this key."""
         return self._items_by_prefix.get(key[:2], self._items_by_prefix[OTHER_KEYS])
 
     def get(self, key: str) -> Item | None:
-        """The key's item, or None where the replica has none."""
-        return self._items_beside(key).get(key)
+        """Return the key's item, or None if the replica has none."""
+        return self._items_with_prefix_of(key).get(key)
 
     def items_under(self, prefix: str) -> list[Item]:
-        """The items below one of KEY_PREFIXES, or those of OTHER_KEYS."""
+        """Return the items with one of `KEY_PREFIXES`, or those of `OTHER_KEYS`."""
         return list(self._items_by_prefix[prefix].values())
 
     def all_items(self) -> Iterator[Item]:
-        """Every item, prefix by prefix; the replica may change meanwhile."""
+        """Yield all items, prefix by prefix; the replica may change during the iteration."""
         for items_by_key in self._items_by_prefix.values():
             yield from list(items_by_key.values())
 
     def items_after(self, key: str) -> list[Item]:
-        """All items whose keys come after this one, in order."""
+        """Return all items whose keys come after this key, in key order."""
         return sorted((item for item in self.all_items() if item.key > key), key=lambda item: item.key)
 
     def put(self, key: str, value: Raw, revision: Revision) -> None:
-        """The key was written at this revision; ignored where a newer one is known."""
+        """Apply a write of the key at this revision; ignored if the replica has the key at this or a newer revision."""
         self.newest_revision = max(self.newest_revision, revision)
-        items_by_key = self._items_beside(key)
+        items_by_key = self._items_with_prefix_of(key)
         current = items_by_key.get(key)
         if current is not None:
             if current.mod_revision >= revision:
@@ -80,29 +80,30 @@
         else:
             self.size_bytes += ENTRY_OVERHEAD_BYTES + len(key)
         content = bytes(value)
-        # A copy: the value as received is a view that would keep the whole response alive.
+        # The value is copied, because the received value is a view that would keep the whole response in memory.
         items_by_key[key] = Item(key, Raw(content), revision)
         self.size_bytes += len(content)
 
     def drop(self, key: str, revision: Revision) -> None:
-        """The key was deleted at this revision; ignored where it was written since."""
+        """Apply a deletion of the key at this revision; ignored if the key was written at this or a newer revision."""
         self.newest_revision = max(self.newest_revision, revision)
-        items_by_key = self._items_beside(key)
+        items_by_key = self._items_with_prefix_of(key)
         current = items_by_key.get(key)
         if current is not None and current.mod_revision < revision:
             del items_by_key[key]
             self.size_bytes -= ENTRY_OVERHEAD_BYTES + len(key) + len(bytes(current.value))
 
     def load(self, items: Iterable[Item], revision: Revision) -> None:
-        """Take in a full read that was begun at this revision."""
+        """Apply the items of a full read that began at this revision."""
         for item in items:
             self.put(item.key, item.value, item.mod_revision)
         self.revision = revision
 
     def apply_events(self, events: Iterable[Event], revision: Revision) -> None:
-        """Take in all changes since `self.revision`, up to `revision`.
+        """Apply all changes since `self.revision`, up to `revision`.
 
-        A response that came after a newer one is left out whole: what it writes may have been dropped since.
+        A response that is older than the replica is ignored as a whole, because a key that it writes may have been
+        deleted since.
         """
         if revision <= self.revision:
             return
@@ -124,9 +125,9 @@
             self._counts_by_revision.popitem(last=False)
 
     def counts(self) -> KeyCounts:
-        """How many keys there are now."""
+        """Return the current number of keys with each prefix."""
         return KeyCounts(*(len(self._items_by_prefix[name]) for name in KEY_PREFIXES))
 
     def counts_at(self, revision: Revision) -> KeyCounts | None:
-        """The counts just after that revision, where they are still known."""
+        """Return the counts just after that revision, or None if they are not kept."""
         return self._counts_by_revision.get(revision)
--- a/meadowcross/store/command_line.py
+++ b/meadowcross/store/command_line.py
@@ -1,4 +1,4 @@
-"""Runs a command-line program's command against the state service, within the default rate share of a client."""
+"""Runs commands of command-line programs against the state service, limited to the rate share of a follower."""
 
 from __future__ import annotations
 
