--- a/meadowcross/relay/assignment.py
+++ b/meadowcross/relay/assignment.py
@@ -56,7 +56,7 @@
         self._move(machine, node)
         self._avoided.pop(machine, None)
 
-    def forget(self, machine: MachineId) -> None:
+    def remove_worker(self, machine: MachineId) -> None:
         """Remove a deleted machine's assignment and its avoided relays."""
         self._move(machine, None)
         self._avoided.pop(machine, None)
--- a/meadowcross/relay/pool.py
+++ b/meadowcross/relay/pool.py
@@ -277,7 +277,7 @@
 
     def forget(self, machine: MachineId) -> None:
         """Remove a deleted machine from the assignment."""
-        self.assignment.forget(machine)
+        self.assignment.remove_worker(machine)
 
     async def send_commands(self, machine: Machine, body: bytes) -> ClientResponse:
         """Send commands to a worker, through its relay or directly.
--- a/meadowcross/replication/follower.py
+++ b/meadowcross/replication/follower.py
@@ -290,7 +290,7 @@
                 self.replica.put(change.key, change.value, revision)
                 self._report_if_ended(change.key, change.value)
             else:
-                self.replica.drop(change.key, revision)
+                self.replica.delete(change.key, revision)
 
     def apply_read(self, key: str, item: Item | None) -> None:
         """Apply a key's item, or its absence, as read from the store after a transaction with an unknown outcome."""
@@ -300,7 +300,7 @@
             self.replica.put(item.key, item.value, item.mod_revision)
             self._report_if_ended(key, item.value)
         elif (current := self.replica.get(key)) is not None:
-            self.replica.drop(key, Revision(current.mod_revision + 1))
+            self.replica.delete(key, Revision(current.mod_revision + 1))
 
     def apply_submission(self, key: str, value: Raw, revision: Revision) -> None:
         """Apply a record that this node stored for a user; the change feed will report it again.
--- a/meadowcross/replication/store_replica.py
+++ b/meadowcross/replication/store_replica.py
@@ -84,7 +84,7 @@
         items_by_key[key] = Item(key, Raw(content), revision)
         self.size_bytes += len(content)
 
-    def drop(self, key: str, revision: Revision) -> None:
+    def delete(self, key: str, revision: Revision) -> None:
         """Apply a deletion of the key at this revision; ignored if the key was written at this or a newer revision."""
         self.newest_revision = max(self.newest_revision, revision)
         items_by_key = self._items_with_prefix_of(key)
@@ -115,7 +115,7 @@
             if event.written_key is not None:
                 self.put(event.written_key, event.value, event.mod_revision)
             elif event.deleted_key is not None:
-                self.drop(event.deleted_key, event.mod_revision)
+                self.delete(event.deleted_key, event.mod_revision)
         self.revision = revision
         self._remember_counts(revision)
 
--- a/meadowcross/store/client.py
+++ b/meadowcross/store/client.py
@@ -105,7 +105,7 @@
 
 
 class _RequestBaseline(NamedTuple):
-    """The epoch count and the highest known revision at the time when a request was sent."""
+    """The epoch count and the lowest revision that a consistent answer can have, as known when the request was sent."""
 
     epoch_count: int
     revision: Revision
--- a/meadowcross/store/group_commit.py
+++ b/meadowcross/store/group_commit.py
@@ -1,4 +1,4 @@
-"""Group commit: stores the leader's writes in one transaction at a time, each retried until it succeeds.
+"""Group commit: stores the leader's writes in one transaction at a time, retried until its outcome is known.
 
 Each attempt builds its writes from the current state in memory, so that a retry stores current values. Each write
 carries the revisions that it depends on as conditions, so that a transaction applied late by the service fails.
--- a/meadowcross/store/rate_shares.py
+++ b/meadowcross/store/rate_shares.py
@@ -28,8 +28,8 @@
 def follower_share_with_borrowed(node_count: int, leader_used: float) -> float:
     """Return a follower's share including what it may borrow while the leader uses `leader_used` of the limits.
 
-    The unused part of the leader's share is lent in equal parts; the result is at most `MAX_BORROWED_SHARE`, unless the
-    follower's own share is larger.
+    The unused part of the leader's share, less `RESERVED_SHARE`, is lent in equal parts. The result is at most
+    `MAX_BORROWED_SHARE`, unless the follower's own share is larger.
     """
     borrowed = max(0.0, LEADER_SHARE - RESERVED_SHARE - leader_used) / max(1, node_count - 1)
     own = follower_share(node_count)
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -58,7 +58,7 @@
         replica.apply_events(events, Revision(response_revision))
     assert {item.key: item.mod_revision for item in replica.all_items()} == keys and replica.revision == revision
     for key, mod_revision in keys.items():
-        replica.drop(key, Revision(mod_revision + 1))
+        replica.delete(key, Revision(mod_revision + 1))
     assert replica.size_bytes == 0
 
 
