--- a/meadowcross/estimates/__init__.py
+++ b/meadowcross/estimates/__init__.py
@@ -1,1 +1,1 @@
-"""Learned run times: what a task will take, and when a job will be done (docs/estimates.md)."""
+"""Predicts run times of tasks and completion times of jobs from earlier runs (docs/estimates.md)."""
--- a/meadowcross/estimates/finish.py
+++ b/meadowcross/estimates/finish.py
@@ -1,4 +1,4 @@
-"""When a job will be done: a function of what of it is left and of the room it may use."""
+"""Predicts when a job will be done, from its remaining tasks and the capacity that it may use."""
 
 from __future__ import annotations
 
@@ -8,13 +8,12 @@
 from meadowcross.common.types import Seconds
 from meadowcross.estimates.curve import Curve
 
-MAX_LOOKED_AT = 16
-"""Of thousands of running tasks so many tell enough."""
+MAX_SAMPLED_TASKS = 16
+"""The remaining time of thousands of running tasks is extrapolated from about this many."""
 
 
 class Ends(NamedTuple):
-    """Seconds from now until a job is done: in one case of ten sooner, as often sooner as
-    later, in nine of ten sooner."""
+    """Seconds from now until a job is done, as the 10, 50 and 90% quantiles."""
 
     low: Seconds
     middle: Seconds
@@ -22,45 +21,52 @@
 
 
 class Left(NamedTuple):
-    """What is left of a job."""
+    """The remaining work of a job."""
 
-    waiting: int
+    waiting_tasks: int
     """Tasks without a machine."""
-    starting: int
-    """Tasks that have one and don't run yet."""
-    running: Sequence[Seconds]
+    starting_tasks: int
+    """Tasks that have a machine and don't run yet."""
+    running_for_s: Sequence[Seconds]
     """How long each running task has run."""
     slots: int
-    """How many of its tasks can run at once, by its team's room and the machines that fit."""
-    turn: Seconds
-    """Until its waiting tasks' turn comes: work ahead of it, or a boot."""
-    fetch: Seconds
+    """How many of its tasks can run at once, by the team's quota and the machines that fit."""
+    start_wait_s: Seconds
+    """Time until the first waiting task can start, because of work ahead of it in the queue or a machine's boot."""
+    fetch_s: Seconds
+    """Duration of the image fetch before a task runs."""
 
 
 def middle_of(left: Left, curve: Curve, alike: float) -> Seconds:
-    """The time until the last task is done, as likely too long as too short.
+    """Return the median time until the last task is done.
 
-    The last of n tasks takes longer than the middle one, by the more the less tasks of a job
-    are `alike`: 0, all take the same; 1, they differ as all runs of the class do.
+    The last of n tasks takes longer than the median task, by more if the tasks of a job differ more. `alike` is how
+    far they differ: 0, all take the same time; 1, they differ as much as all runs of the class.
     """
-    count = left.waiting + left.starting + len(left.running)
+    count = left.waiting_tasks + left.starting_tasks + len(left.running_for_s)
     if count == 0:
         return 0.0
-    at_once = max(1, min(left.slots, count))
+    concurrency = max(1, min(left.slots, count))
 
-    def last_of(tasks: int) -> float:
+    def quantile_of_last(tasks: int) -> float:
         return float(0.5 ** (1.0 / max(1, tasks) ** alike))
 
-    run = curve.at(0.5)
-    if left.waiting == 0:
-        ends = [curve.left(min(left.running), last_of(len(left.running)))] if left.running else []
-        if left.starting:
-            ends.append(left.fetch + curve.at(last_of(left.starting)))
-        return max(ends)
-    every = max(1, len(left.running) // MAX_LOOKED_AT)
-    looked_at = left.running[::every]
-    going = sum(curve.left(one, 0.5) for one in looked_at) * (len(left.running) / max(1, len(looked_at)))
-    work = going + left.starting * (left.fetch + run) + (left.waiting - 1) * run
-    # The last begins where a place comes free first, half a run before the places' mean end.
-    begins = max(left.turn, work / at_once - run * (at_once - 1) / (2 * at_once))
-    return begins + left.fetch + curve.at(last_of(min(at_once, left.waiting)))
+    median_s = curve.quantile(0.5)
+    if left.waiting_tasks == 0:
+        ends_s = (
+            [curve.remaining(min(left.running_for_s), quantile_of_last(len(left.running_for_s)))]
+            if left.running_for_s
+            else []
+        )
+        if left.starting_tasks:
+            ends_s.append(left.fetch_s + curve.quantile(quantile_of_last(left.starting_tasks)))
+        return max(ends_s)
+    stride = max(1, len(left.running_for_s) // MAX_SAMPLED_TASKS)
+    sampled = left.running_for_s[::stride]
+    running_work_s = sum(curve.remaining(elapsed_s, 0.5) for elapsed_s in sampled) * (
+        len(left.running_for_s) / max(1, len(sampled))
+    )
+    work_s = running_work_s + left.starting_tasks * (left.fetch_s + median_s) + (left.waiting_tasks - 1) * median_s
+    # The last task starts on the first slot that becomes free, half a run before the mean time at which slots do.
+    last_start_s = max(left.start_wait_s, work_s / concurrency - median_s * (concurrency - 1) / (2 * concurrency))
+    return last_start_s + left.fetch_s + curve.quantile(quantile_of_last(min(concurrency, left.waiting_tasks)))
--- a/meadowcross/estimates/history.py
+++ b/meadowcross/estimates/history.py
@@ -1,4 +1,4 @@
-"""Histories of runs: read from a file of JSON lines, or made from a seed."""
+"""Reads histories of runs from files of JSON lines, and generates them from a seed."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from msgspec import Meta, Struct, field
 
 from meadowcross.common.types import Seconds
-from meadowcross.estimates.learned import Kind, shape_name
+from meadowcross.estimates.learned import RunFeatures, shape_name
 
-MAX_LINE = 64 * 1024
+MAX_LINE_BYTES = 64 * 1024
 
 _Name = Annotated[str, Meta(max_length=100)]
 _Amount = Annotated[float, Meta(ge=0, le=1e6)]
@@ -21,14 +21,14 @@
 
 
 class Run(Struct, omit_defaults=True):
-    """One run, as a line of a history says it: seconds of running, without fetch and waiting."""
+    """One run, as a line of a history: `seconds` of running, without image fetch and waiting."""
 
     job_class: Annotated[str, Meta(min_length=1, max_length=100)] = field(name="class")
     seconds: Annotated[float, Meta(gt=0, le=1e8)]
     estimate: Annotated[float, Meta(ge=0, le=1e8)] = 0.0
-    """The owner's; 0: none."""
+    """The owner's guess in seconds; 0 if there is none."""
     outcome: Outcome = "done"
-    """Anything but `done` was cut short after `seconds`."""
+    """With any outcome but `done` the run was interrupted after `seconds`."""
     team: _Name = ""
     type: _Name = ""
     job: _Name = ""
@@ -38,134 +38,138 @@
     memory_gb: _Amount = 0.0
 
     @property
-    def kind(self) -> Kind:
+    def features(self) -> RunFeatures:
+        """The features that a prediction of the run is made from."""
         shape = shape_name(self.cpus, self.gpus, self.memory_gb)
-        return Kind(self.job_class, self.team, shape, self.type, self.estimate, self.job)
+        return RunFeatures(self.job_class, self.team, shape, self.type, self.estimate, self.job)
 
 
 _decode = msgspec.json.Decoder(Run).decode
 
 
-def read(path: str, complain: Callable[[str], None]) -> list[Run]:
-    """All good lines of the file, in their order; each bad one is told once, with its number.
-    Raises OSError where the file can't be read."""
+def read_history(path: str, report_error: Callable[[str], None]) -> list[Run]:
+    """Return the runs of all valid lines, in order; each invalid line is reported once, with its number.
+
+    Raises OSError if the file can't be read."""
     runs = []
     with open(path, "rb") as file:
         for number, line in enumerate(file, 1):
             if not line.strip():
                 continue
             try:
-                if len(line) > MAX_LINE:
-                    raise ValueError(f"{len(line)} bytes, expected at most {MAX_LINE}")
+                if len(line) > MAX_LINE_BYTES:
+                    raise ValueError(f"{len(line)} bytes, expected at most {MAX_LINE_BYTES}")
                 run = _decode(line)
                 if not run.job_class.isprintable():
                     raise ValueError("class name with characters that can't be printed")
                 runs.append(run)
             except (msgspec.DecodeError, ValueError) as error:
-                complain(f"line {number}: {' '.join(str(error).split())}")
+                report_error(f"line {number}: {' '.join(str(error).split())}")
     return runs
 
 
-def made(seed: int, runs: int = 300) -> list[Run]:
-    """A history with each of the cases that estimates must stand, mixed in time."""
-    chance = Random(seed)
-    streams = [iter(case(Random(f"{seed} {name}"), name, runs)) for name, case in CASES.items()]
+def generate_history(seed: int, runs_per_case: int = 300) -> list[Run]:
+    """Generate a history of all cases that the estimates must handle, mixed in time."""
+    random = Random(seed)
+    streams = [
+        iter(generate_case(Random(f"{seed} {name}"), name, runs_per_case)) for name, generate_case in CASES.items()
+    ]
     history: list[Run] = []
     while streams:
-        stream = chance.choice(streams)
+        stream = random.choice(streams)
         run = next(stream, None)
         if run is None:
             streams.remove(stream)
         else:
             history.append(run)
-    # Owners of a class without any history, when the others are well known.
-    history += _unknown(Random(f"{seed} unknown"))
+    # A class without any history, whose team is well known.
+    history += _unknown_class(Random(f"{seed} unknown"))
     return history
 
 
-def _owner(chance: Random) -> float:
-    """How far a guess is off: often by half, now and then by more."""
-    return exp(chance.gauss(0.0, 0.45))
+def _guess_error(random: Random) -> float:
+    """Return the factor of a guess's error: often a half too much or too little, sometimes more."""
+    return exp(random.gauss(0.0, 0.45))
 
 
-def _steady(chance: Random, name: str, runs: int) -> Iterator[Run]:
+def _steady(random: Random, name: str, runs: int) -> Iterator[Run]:
     for _ in range(runs):
-        yield Run(name, 60 * exp(chance.gauss(0, 0.08)), 60 * _owner(chance), team="ops")
+        yield Run(name, 60 * exp(random.gauss(0, 0.08)), 60 * _guess_error(random), team="ops")
 
 
-def _told_by_owner(chance: Random, name: str, runs: int) -> Iterator[Run]:
-    """Lengths of all kinds, of which the owner knows all but a constant."""
+def _guessed_by_owner(random: Random, name: str, runs: int) -> Iterator[Run]:
+    """Run times of any run_s; the owner's guess is right except for a constant factor."""
     for _ in range(runs):
-        length = exp(chance.uniform(2.5, 6.5))
-        yield Run(name, length * exp(chance.gauss(0, 0.08)), length * 0.6, team="ops")
+        run_s = exp(random.uniform(2.5, 6.5))
+        yield Run(name, run_s * exp(random.gauss(0, 0.08)), run_s * 0.6, team="ops")
 
 
-def _doubling(chance: Random, name: str, runs: int) -> Iterator[Run]:
+def _doubling(random: Random, name: str, runs: int) -> Iterator[Run]:
     for i in range(runs):
-        length: Seconds = 80.0 if runs // 3 <= i < 2 * runs // 3 else 40.0
-        yield Run(name, length * exp(chance.gauss(0, 0.08)), 40 * _owner(chance), team="gate")
+        run_s: Seconds = 80.0 if runs // 3 <= i < 2 * runs // 3 else 40.0
+        yield Run(name, run_s * exp(random.gauss(0, 0.08)), 40 * _guess_error(random), team="gate")
 
 
-def _bimodal(chance: Random, name: str, runs: int) -> Iterator[Run]:
+def _bimodal(random: Random, name: str, runs: int) -> Iterator[Run]:
     for _ in range(runs):
-        length = 200.0 if chance.random() < 0.3 else 50.0
-        yield Run(name, length * exp(chance.gauss(0, 0.08)), 90.0, team="gate")
+        run_s = 200.0 if random.random() < 0.3 else 50.0
+        yield Run(name, run_s * exp(random.gauss(0, 0.08)), 90.0, team="gate")
 
 
-def _drift(chance: Random, name: str, runs: int) -> Iterator[Run]:
+def _drift(random: Random, name: str, runs: int) -> Iterator[Run]:
     for i in range(runs):
-        yield Run(name, 30 * exp(1.5 * i / runs + chance.gauss(0, 0.08)), 60.0, team="gate")
+        yield Run(name, 30 * exp(1.5 * i / runs + random.gauss(0, 0.08)), 60.0, team="gate")
 
 
-def _heavy_tail(chance: Random, name: str, runs: int) -> Iterator[Run]:
+def _heavy_tail(random: Random, name: str, runs: int) -> Iterator[Run]:
     for _ in range(runs):
-        yield Run(name, 10 * chance.paretovariate(1.2), 30.0, team="image")
+        yield Run(name, 10 * random.paretovariate(1.2), 30.0, team="image")
 
 
-def _hanging(chance: Random, name: str, runs: int) -> Iterator[Run]:
+def _hanging(random: Random, name: str, runs: int) -> Iterator[Run]:
     for _ in range(runs):
-        if chance.random() < 0.05:
-            yield Run(name, 25 * chance.uniform(5, 40), 25.0, "lost", team="image")
+        if random.random() < 0.05:
+            yield Run(name, 25 * random.uniform(5, 40), 25.0, "lost", team="image")
         else:
-            yield Run(name, 25 * exp(chance.gauss(0, 0.08)), 25 * _owner(chance), team="image")
+            yield Run(name, 25 * exp(random.gauss(0, 0.08)), 25 * _guess_error(random), team="image")
 
 
-def _wrong_by_half(chance: Random, name: str, runs: int) -> Iterator[Run]:
+def _wrong_by_half(random: Random, name: str, runs: int) -> Iterator[Run]:
     for _ in range(runs):
-        length = exp(chance.uniform(3, 5)) * exp(chance.gauss(0, 0.08))
-        yield Run(name, length, length / 2, team="image")
+        run_s = exp(random.uniform(3, 5)) * exp(random.gauss(0, 0.08))
+        yield Run(name, run_s, run_s / 2, team="image")
 
 
-def _two_teams(chance: Random, name: str, runs: int) -> Iterator[Run]:
+def _two_teams(random: Random, name: str, runs: int) -> Iterator[Run]:
     for _ in range(runs):
-        team, length = ("ops", 30.0) if chance.random() < 0.5 else ("gate", 75.0)
-        yield Run(name, length * exp(chance.gauss(0, 0.08)), 50.0, team=team)
+        team, run_s = ("ops", 30.0) if random.random() < 0.5 else ("gate", 75.0)
+        yield Run(name, run_s * exp(random.gauss(0, 0.08)), 50.0, team=team)
 
 
-def _slow_machine(chance: Random, name: str, runs: int) -> Iterator[Run]:
-    """One machine of twelve takes three times as long; its runs can't be foreseen from here."""
+def _slow_machine(random: Random, name: str, runs: int) -> Iterator[Run]:
+    """One machine of twelve takes three times as long, which can't be predicted from a run's features."""
     for _ in range(runs):
-        machine = chance.randrange(12)
-        length = 45 * exp(chance.gauss(0, 0.08)) * (3 if machine == 0 else 1)
-        yield Run(name, length, 45 * _owner(chance), team="ops", machine=f"i-{machine}")
+        machine = random.randrange(12)
+        run_s = 45 * exp(random.gauss(0, 0.08)) * (3 if machine == 0 else 1)
+        yield Run(name, run_s, 45 * _guess_error(random), team="ops", machine=f"i-{machine}")
 
 
-def _arrays(chance: Random, name: str, runs: int) -> Iterator[Run]:
-    """Jobs of twenty alike tasks, each job of another length."""
+def _arrays(random: Random, name: str, runs: int) -> Iterator[Run]:
+    """Jobs of twenty similar tasks; run times differ between the jobs."""
     for job in range(max(1, runs // 20)):
-        length = 60 * exp(chance.gauss(0, 0.6))
+        run_s = 60 * exp(random.gauss(0, 0.6))
         for _ in range(20):
-            yield Run(name, length * exp(chance.gauss(0, 0.06)), 60.0, team="image", job=f"{name}-{job}")
+            yield Run(name, run_s * exp(random.gauss(0, 0.06)), 60.0, team="image", job=f"{name}-{job}")
 
 
-def _unknown(chance: Random) -> list[Run]:
-    return [Run("unknown", 35 * exp(chance.gauss(0, 0.08)), 70.0, team="image") for _ in range(40)]
+def _unknown_class(random: Random) -> list[Run]:
+    return [Run("unknown", 35 * exp(random.gauss(0, 0.08)), 70.0, team="image") for _ in range(40)]
 
 
-Case = Callable[[Random, str, int], Iterator[Run]]
-CASES: dict[str, Case] = {
+CaseGenerator = Callable[[Random, str, int], Iterator[Run]]
+CASES: dict[str, CaseGenerator] = {
     "steady": _steady,
-    "told-by-owner": _told_by_owner,
+    "told-by-owner": _guessed_by_owner,
     "doubling": _doubling,
     "bimodal": _bimodal,
     "drift": _drift,
--- a/meadowcross/estimates/keeper.py
+++ b/meadowcross/estimates/keeper.py
@@ -1,9 +1,9 @@
-"""Storing what was learned, and taking over what an earlier leader stored.
+"""Stores learned run times, and loads those that an earlier leader stored.
 
-Records go through a group commit of their own, so that nothing here can hold up a placement: it
-asks for its share of the limits after everybody else, writes at most one entry a second, and has
-the leader's key as a condition like every transaction of a leader. A record holds all that is
-known of its entry, never an increment: written twice after a lost answer it counts once.
+Records have a group commit of their own, so that they can't delay a placement: its requests have the lowest priority,
+and it writes at most one entry a second. Like every transaction of a leader, each has the leader key as a condition.
+A record holds the entry's whole state, never an increment, so a record that is written again after a lost response
+counts once.
 """
 
 from __future__ import annotations
@@ -27,186 +27,193 @@
 
 log = get_logger("estimates")
 
-WRITE_S: Seconds = 1.0
-"""One entry in so long, at most."""
-WORTH = 0.05
-"""An entry is stored again once its ends have grown by this share ..."""
-WAIT_S: Seconds = 30.0
-"""... or this long after its last change was stored, whichever comes first."""
-LOAD_WAIT_S, LOAD_WAIT_MOST_S = 0.5, 8.0
-PAGE = 32
-"""Entries read at once: a page then stays far below the store's 512 KiB."""
-CHECK_S: Seconds = 30.0
-"""How often it is asked whether an operator dropped what we have stored."""
+WRITE_INTERVAL_S: Seconds = 1.0
+"""At most one entry is written in this time."""
+MIN_UNSAVED_SHARE = 0.05
+"""An entry is stored again once this share of its samples is unsaved ..."""
+MAX_UNSAVED_S: Seconds = 30.0
+"""... or this long after its last write, whichever comes first."""
+MIN_LOAD_RETRY_S, MAX_LOAD_RETRY_S = 0.5, 8.0
+PAGE_ENTRIES = 32
+"""Entries in one list request: a page then stays far below the store's limit of 512 KiB."""
+CHECK_INTERVAL_S: Seconds = 30.0
+"""How often the keeper checks whether an operator has deleted stored entries."""
 
 
 class EstimateKeeper:
+    """Loads a leader's learned run times at the start of a term, and stores them while it lasts."""
+
     def __init__(
         self,
         clock: Clock,
         store: StoreClient,
-        leader: sm.Condition,
+        leader_condition: sm.Condition,
         learned: Learned,
         reread_leader: Callable[[list[str]], Awaitable[None]],
     ) -> None:
         self._clock = clock
         self._store = store
-        self._leader = leader
+        self._leader_condition = leader_condition
         self._learned = learned
         self._reread_leader = reread_leader
-        self._committer = GroupCommitter(clock, store, leader, self._reread)
-        self._marks: dict[str, Revision] = {}
+        self._committer = GroupCommitter(clock, store, leader_condition, self._reread)
+        self._revisions: dict[str, Revision] = {}
+        """By key: the revision at which the record was read or written last."""
         self._written_at: dict[str, float] = {}
-        self._writing: str | None = None
+        """By entry name: when its last write began, or when it first had unsaved samples."""
+        self._writing_key: str | None = None
+        """The key of the write in progress."""
         self._checked_at = clock.seconds()
-        self._checking = False
-        self._stopped = False
+        self._is_checking = False
+        self._is_stopped = False
         self.loaded = False
         self.writes = 0
-        self._tick = LoopingCall(self._on_tick)
-        self._tick.clock = clock  # type: ignore[assignment]
+        self._loop = LoopingCall(self._on_tick)
+        self._loop.clock = clock  # type: ignore[assignment]
 
     def start(self) -> None:
-        """Begin to load; placing goes on meanwhile."""
-        if self._stopped:
+        """Start loading and writing in the background; placement does not wait for it."""
+        if self._is_stopped:
             return
-        for work in (self._load(), self._committer.run()):
-            Deferred.fromCoroutine(work).addErrback(self._failed)
+        for task in (self._load(), self._committer.run()):
+            Deferred.fromCoroutine(task).addErrback(self._on_failure)
 
-    def _failed(self, failure: Any) -> None:
-        # Estimates may be lost; the leader's work goes on without them.
-        log.error("keeping estimates failed: %s", failure.getTraceback())
+    def _on_failure(self, failure: Any) -> None:
+        # The leader continues to work without stored estimates.
+        log.error("storing estimates failed error=%s", failure.getTraceback())
 
     def stop(self) -> None:
-        self._stopped = True
+        """Stop loading and writing, at the end of the term."""
+        self._is_stopped = True
         self._committer.stop()
-        if self._tick.running:
-            self._tick.stop()
+        if self._loop.running:
+            self._loop.stop()
 
     async def _load(self) -> None:
-        wait = LOAD_WAIT_S
-        while not self._stopped:
+        retry_s = MIN_LOAD_RETRY_S
+        while not self._is_stopped:
             try:
-                items, _ = await self._store.list_items(m.PREFIX, RequestPriority.BACKGROUND, PAGE)
+                items, _ = await self._store.list_items(m.PREFIX, RequestPriority.BACKGROUND, PAGE_ENTRIES)
             except (
                 StoreUnavailableError,
                 IndeterminateResultError,
                 RequestRejectedError,
                 msgspec.DecodeError,
             ) as error:
-                log.debug("loading estimates waits: %s", error)
-                await pause(self._clock, wait)
-                wait = min(LOAD_WAIT_MOST_S, 2 * wait)
+                log.debug("loading estimates failed, will retry error=%s", error)
+                await pause(self._clock, retry_s)
+                retry_s = min(MAX_LOAD_RETRY_S, 2 * retry_s)
                 continue
-            if self._stopped:
+            if self._is_stopped:
                 return
             for item in items:
-                self._marks[item.key] = item.mod_revision
-                self._learned.offer(item.key, item.value)
-            self._learned.bound()
+                self._revisions[item.key] = item.mod_revision
+                self._learned.add_stored(item.key, item.value)
+            self._learned.drop_excess_stored()
             self.loaded = True
-            log.info("%d entries of estimates taken over", len(items))
-            self._tick.start(WRITE_S, now=False)
+            log.info("loaded stored estimates count=%d", len(items))
+            self._loop.start(WRITE_INTERVAL_S, now=False)
             return
 
     # Writing
 
     def _on_tick(self) -> None:
-        if self._writing is not None:
+        if self._writing_key is not None:
             return
         now = self._clock.seconds()
-        if now - self._checked_at >= CHECK_S and not self._checking:
-            self._checking = True
-            Deferred.fromCoroutine(self._check()).addErrback(self._failed)
-        if self._learned.dropped:
-            self._drop(self._learned.dropped.pop())
+        if now - self._checked_at >= CHECK_INTERVAL_S and not self._is_checking:
+            self._is_checking = True
+            Deferred.fromCoroutine(self._check()).addErrback(self._on_failure)
+        if self._learned.evicted_keys:
+            self._delete(self._learned.evicted_keys.pop())
             return
-        name = self._due(now)
+        name = self._next_entry_to_write(now)
         if name is not None:
             self._write(name, now)
 
-    def _due(self, now: float) -> str | None:
-        """The entry of which the largest share is unsaved, if that is worth a write."""
+    def _next_entry_to_write(self, now: float) -> str | None:
+        """Return the entry with the largest unsaved share of samples; None if no entry needs a write yet."""
         best: tuple[float, str] | None = None
         for entry in self._learned.entries():
             unsaved = self._learned.unsaved.get(entry.name, 0.0)
             if unsaved <= 0:
                 continue
-            share = unsaved / max(entry.ends, 1.0)
-            if now - self._written_at.setdefault(entry.name, now) >= WAIT_S:
-                share += WORTH
-            if share >= WORTH and (best is None or share > best[0]):
+            share = unsaved / max(entry.sample_count, 1.0)
+            if now - self._written_at.setdefault(entry.name, now) >= MAX_UNSAVED_S:
+                share += MIN_UNSAVED_SHARE
+            if share >= MIN_UNSAVED_SHARE and (best is None or share > best[0]):
                 best = (share, entry.name)
         return best[1] if best is not None else None
 
     def _write(self, name: str, now: float) -> None:
-        key = m.key_of(name)
-        self._writing = key
+        key = m.store_key(name)
+        self._writing_key = key
         self._written_at[name] = now
 
         def build() -> Write | None:
-            counted = self._learned.unsaved.pop(name, 0.0)
-            value = self._learned.record(name, self._store.max_value_bytes)
+            saved_samples = self._learned.unsaved.pop(name, 0.0)
+            value = self._learned.encode_entry(name, self._store.max_value_bytes)
             if value is None:
-                self._writing = None
+                self._writing_key = None
                 return None
 
-            def done(mark: Revision) -> None:
-                self._marks[key] = mark
-                self._writing = None
+            def on_written(revision: Revision) -> None:
+                self._revisions[key] = revision
+                self._writing_key = None
                 self.writes += 1
-                log.debug("estimates of %.60s stored, %.1f ends, %d bytes", name, counted, len(value))
+                log.debug("stored estimates entry=%.60s samples=%.1f bytes=%d", name, saved_samples, len(value))
 
-            return Write([self._condition(key)], [sm.Put(key, msgspec.Raw(value))], done)
+            return Write([self._condition(key)], [sm.Put(key, msgspec.Raw(value))], on_written)
 
         self._committer.enqueue(("estimate", key), build, False)
 
-    def _drop(self, key: str) -> None:
-        if key not in self._marks:
+    def _delete(self, key: str) -> None:
+        if key not in self._revisions:
             return
-        self._writing = key
+        self._writing_key = key
 
-        def done(mark: Revision) -> None:
-            self._marks.pop(key, None)
-            self._writing = None
+        def on_deleted(revision: Revision) -> None:
+            self._revisions.pop(key, None)
+            self._writing_key = None
 
         def build() -> Write | None:
-            if key not in self._marks:
-                self._writing = None
+            if key not in self._revisions:
+                self._writing_key = None
                 return None
-            return Write([self._condition(key)], [sm.Delete(key)], done)
+            return Write([self._condition(key)], [sm.Delete(key)], on_deleted)
 
         self._committer.enqueue(("estimate", key), build, False)
 
     def _condition(self, key: str) -> sm.Condition:
-        return sm.Condition(key, self._marks.get(key, Revision(0)))
+        return sm.Condition(key, self._revisions.get(key, Revision(0)))
 
     async def _reread(self, keys: list[str]) -> None:
-        """After a conflict or a lost answer: what do the keys hold now? What is there may be our
-        own late write; what is gone was dropped by an operator."""
+        """Read the present revisions of keys after a conflict or a lost response.
+
+        A record may be this leader's own late write. A key without a record was deleted by an operator."""
         for key in keys:
-            if key == self._leader.key:
+            if key == self._leader_condition.key:
                 await self._reread_leader([key])
                 continue
             item = await self._store.get(key, RequestPriority.BACKGROUND)
-            if self._stopped:
+            if self._is_stopped:
                 return
             if item is not None:
-                self._marks[key] = item.mod_revision
-            elif self._marks.pop(key, None) is not None:
-                self._learned.reset(key)
+                self._revisions[key] = item.mod_revision
+            elif self._revisions.pop(key, None) is not None:
+                self._learned.reset_entry(key)
 
     async def _check(self) -> None:
-        """One request that changes nothing: are all records as we left them?"""
+        """Check with one request, which changes nothing, whether all records are as this leader left them."""
         self._checked_at = self._clock.seconds()
         try:
-            keys = list(self._marks)[: self._store.max_conditions]
-            changed = await self._store.find_changed_keys(
-                [sm.Condition(key, self._marks[key]) for key in keys], RequestPriority.BACKGROUND
+            keys = list(self._revisions)[: self._store.max_conditions]
+            changed_keys = await self._store.find_changed_keys(
+                [sm.Condition(key, self._revisions[key]) for key in keys], RequestPriority.BACKGROUND
             )
-            if changed and self._writing is None and not self._stopped:
-                await self._reread([key for key in changed if key in self._marks])
+            if changed_keys and self._writing_key is None and not self._is_stopped:
+                await self._reread([key for key in changed_keys if key in self._revisions])
         except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
-            log.debug("checking estimates: %s", error)
+            log.debug("checking stored estimates failed error=%s", error)
         finally:
-            self._checking = False
+            self._is_checking = False
--- a/meadowcross/estimates/learned.py
+++ b/meadowcross/estimates/learned.py
@@ -1,9 +1,8 @@
-"""Run times learned from what finished: levels, from all work down to one job.
+"""Learns run times from completed runs, on levels from all work down to one job.
 
-A prediction starts from the owner's guess with a wide spread and is drawn, level by level,
-towards what was seen: of all work, of the team, of the class, of the part of the class that
-tells most (team, shape, machine type), of the job's own tasks. Each level counts by how much
-it has seen. docs/estimates.md says why so.
+A prediction starts from the owner's guess with a wide spread, and each level shrinks it towards its own samples: all
+work, the team, the class, the subgroup of the class that differs most (by team, shape or machine type), and the job's
+own tasks. A level counts by how many samples it has. docs/estimates.md gives the reasons.
 """
 
 from __future__ import annotations
@@ -22,94 +21,98 @@
 from meadowcross.common.types import JobId, MachineId, Seconds
 from meadowcross.estimates import messages as m
 from meadowcross.estimates.curve import (
-    GRID,
-    LEAST_S,
-    MIDDLE,
-    PAIRS,
-    STATED,
+    INTERVAL_COVERAGES,
+    INTERVAL_INDEXES,
+    MEDIAN_INDEX,
+    MIN_RUN_S,
+    QUANTILES,
     Curve,
-    Logs,
-    ascending,
+    LogQuantiles,
     blend,
-    shifted,
-    spread,
-    widened,
+    lognormal,
+    make_ascending,
+    shift,
+    widen,
 )
 from meadowcross.estimates.runs import TYPICAL
 from meadowcross.jobs import messages as jm
 from meadowcross.jobs.messages import JobSpec
 
 if TYPE_CHECKING:
-    # The sketch library is loaded with the first end that is learned, not with a node.
-    from meadowcross.estimates.sketch import Decayed
-    from meadowcross.estimates.track import Track
+    # The sketch library is imported with the first sample, not at a node's start.
+    from meadowcross.estimates.adaptive_distribution import AdaptiveDistribution
+    from meadowcross.estimates.sketch import DecayingSketch
 
-log_to = get_logger("estimates")
+logger = get_logger("estimates")
 
 GUESS_SIGMA = 0.8
-"""An owner's guess alone: four in five runs between a third and nearly three times of it."""
-NO_GUESS_S, NO_GUESS_SIGMA = 60.0, 1.6
-"""Without a guess and without any history; it only has to be sane and wide."""
-LEAN, LEAST_LEAN = 2.0, 0.02
-"""So many ends of its own count as much as the level above; more at the tails, which few ends
-show."""
-TAILS = tuple(LEAN / sqrt(2 * min(q, 1 - q)) for q in GRID)
-PART_FROM = 6.0
-PART_APART = 2.0
-"""Standard errors by which a part's middle must differ from its class's to be used."""
-PART_LEAST = 0.05
-PART_HALF_LIFE = 32.0
-MAX_PARTS = 8
-TRUST_KEEP = 0.97
-"""Misses are averaged over some thirty ends: a change spoils both ways of telling alike, and
-must not make the worse of them look better."""
-TIME_BETTER = 0.9
-"""The class's own run times are used instead of ratios to the guess if they miss by less."""
-SPREAD_KEEP = 0.9
-STEP, LEAST_STEP = 0.06, 0.2
-"""How fast the stated intervals are stretched or narrowed to hold what they state."""
-NARROWEST, WIDEST = -1.5, 1.5
-MACHINE_KEEP = 0.7
-MACHINE_FROM = 3
-SLOW_LOG = 0.35
-"""A machine whose runs take e^0.35, 1.4 times, as long as all others' is slow: machines of one
-type differ by a tenth."""
-WORTH_COUNTING, ONE_OF = 0.02, 4
-"""Ends of a job that count for less are left out of its class, and only one of so many is
-looked at to see how the tasks of one job differ: most ends of a large array cost next to nothing."""
-FLEET_KEEP = 0.95
-MOST_OFF = 7.0
-"""Logarithm of the largest error that is believed, a thousand times."""
-OVERDUE_Q = 0.9
-OVERDUE_COUNTS = 10.0
-"""Overdue runs are weighed against at most so many ends."""
-MAX_OVERDUE = 32
-OVERDUE_GROWTH = 0.2
-"""What is overdue is expected to last a fifth longer than it has, in logarithms."""
-KEPT_S: Seconds = 1.0
-JOB_KEPT_S: Seconds = 4.0
-"""What was worked out for a class, and for one job, is used again for so long."""
-MAX_KEPT_LEFTS = 2_000
-MAX_CLASSES = 1_000
+"""Spread around an owner's guess alone: four of five runs take between a third and nearly three times of it."""
+DEFAULT_RUN_S, DEFAULT_SIGMA = 60.0, 1.6
+"""For a run without a guess and without any history; it only has to be plausible and wide."""
+PRIOR_WEIGHT, MIN_PRIOR_SCALE = 2.0, 0.02
+"""Weight of the level above, in samples of the level itself, and the lowest factor that `_shrink` scales it by."""
+QUANTILE_PRIOR_WEIGHTS = tuple(PRIOR_WEIGHT / sqrt(2 * min(q, 1 - q)) for q in QUANTILES)
+"""The weight of the level above at each quantile. It is larger at the tails, which few samples show."""
+MIN_SUBGROUP_WEIGHT = 6.0
+MIN_SUBGROUP_Z_SCORE = 2.0
+"""A subgroup is used if its median differs from its class's by more than this number of standard errors ..."""
+MIN_SUBGROUP_LOG_OFFSET = 0.05
+"""... and by more than this, in logarithms."""
+SUBGROUP_HALF_LIFE = 32.0
+MAX_SUBGROUPS = 8
+ERROR_DECAY = 0.97
+"""Errors of the two predictors (ratio and time) are averaged over some thirty samples: a change raises both errors
+alike, and must not make the worse predictor look better."""
+MAX_TIME_ERROR_RATIO = 0.9
+"""A class's run times are used instead of its ratios to the guess if their error is below this share of the ratios'."""
+DEVIATION_DECAY = 0.9
+WIDTH_STEP, MIN_WIDTH_STEP_WEIGHT = 0.06, 0.2
+"""How fast the stated intervals are stretched or narrowed until they cover what they state."""
+MIN_LOG_WIDTH, MAX_LOG_WIDTH = -1.5, 1.5
+MACHINE_DECAY = 0.7
+MIN_MACHINE_SAMPLES = 3
+SLOW_MACHINE_LOG_RATIO = 0.35
+"""A machine is slow if its runs take e^0.35, 1.4 times, as long as the fleet's: machines of one type differ by a
+tenth."""
+MIN_SAMPLE_WEIGHT, LIGHT_SAMPLE_STRIDE = 0.02, 4
+"""A job's samples with less weight are left out of its class, and only one of `LIGHT_SAMPLE_STRIDE` of them is used for
+the interval widths and deviations. Most samples of a large array then cost next to nothing."""
+FLEET_DECAY = 0.95
+MAX_LOG_ERROR = 7.0
+"""Errors are limited to this logarithm, a factor of about a thousand."""
+OVERDUE_QUANTILE = 0.9
+MAX_WEIGHT_AGAINST_OVERDUE = 10.0
+"""Overdue runs are weighed against at most this number of samples."""
+MAX_OVERDUE_TASKS = 32
+OVERDUE_LOG_MARGIN = 0.2
+"""An overdue run is expected to last about a fifth longer than it has, in logarithms."""
+CLASS_CACHE_S: Seconds = 1.0
+JOB_CACHE_S: Seconds = 4.0
+"""How long the results computed for a class, and for one job, are reused."""
+MAX_CACHED_REMAINING_TIMES = 2_000
+MAX_ENTRIES = 1_000
 MAX_MACHINES = 5_000
 MAX_JOBS = 20_000
 
 
-class Kind(NamedTuple):
-    """All that a run's length is taken to depend on."""
+class RunFeatures(NamedTuple):
+    """Everything that a run time is predicted from."""
 
     job_class: str
     team: str
     shape: str
+    """See `shape_name`."""
     machine_type: str
-    """Empty where it is not known yet."""
-    guess: Seconds
+    """Empty if it is not known yet."""
+    guess_s: Seconds
+    """The owner's guess; 0 if there is none."""
     job: str
+    """The job's id; empty if it is unknown."""
 
 
 @lru_cache(maxsize=4096)
 def shape_name(cpus: float, gpus: float, memory_gb: float) -> str:
-    """Tasks within a factor of two of each other are of one shape."""
+    """Return the name of a task's shape: each resource rounded up to a power of two."""
 
     def size(amount: float) -> int:
         return ceil(log2(amount) - 1e-9) if amount > 0 else -99
@@ -117,574 +120,660 @@
     return f"{size(cpus)},{size(gpus)},{size(memory_gb)}"
 
 
-def kind_of(spec: JobSpec, machine_type: str = "") -> Kind:
+def features_of(spec: JobSpec, machine_type: str = "") -> RunFeatures:
+    """Return the features of a run of the job, on a machine of the type if it is known."""
     shape = shape_name(spec.cpus, spec.gpus, spec.memory_gb)
-    return Kind(spec.job_class, spec.team, shape, machine_type, spec.estimate_s, spec.id)
+    return RunFeatures(spec.job_class, spec.team, shape, machine_type, spec.estimate_s, spec.id)
 
 
 Overdue = list[tuple[float, float]]
+"""Overdue runs, ascending: the logarithm of the elapsed time over the predicted median, and a weight."""
 
 
 class Entry:
-    """What was learned of a class, a team or everything."""
+    """What was learned of a class, a team, all work, or the errors of completion forecasts."""
 
     __slots__ = (
-        "ends",
+        "job_deviation",
+        "log_widths",
         "name",
+        "overall_deviation",
         "overdue",
-        "parts",
         "ratio",
-        "ratio_miss",
-        "spread_all",
-        "spread_in_job",
+        "ratio_error",
+        "sample_count",
+        "subgroups",
         "time",
-        "time_miss",
-        "widths",
+        "time_error",
     )
 
-    def __init__(self, name: str, ratio: Track, time: Track) -> None:
+    def __init__(self, name: str, ratio: AdaptiveDistribution, time: AdaptiveDistribution) -> None:
         self.name = name
         self.ratio = ratio
         self.time = time
-        self.ends = 0.0
-        self.ratio_miss = 0.5
-        self.time_miss = 0.6
-        self.spread_all = 0.3
-        self.spread_in_job = 0.1
-        """Mean distance of an end from its class's middle, and from what its job had shown."""
-        self.widths = [[0.0, 0.0, 0.0], [0.0, 0.0, 0.0]]
-        """Logarithms of what the stated intervals are stretched by: a job's first end; the others."""
-        self.parts: OrderedDict[str, Decayed] = OrderedDict()
+        self.sample_count = 0.0
+        """The sum of the samples' weights."""
+        self.ratio_error = 0.5
+        self.time_error = 0.6
+        """Mean absolute errors, in logarithms, of the medians of `ratio` and of `time` as predictions."""
+        self.overall_deviation = 0.3
+        self.job_deviation = 0.1
+        """Mean distances, in logarithms, of a sample from its class's median, and from its job's earlier samples."""
+        self.log_widths = [[0.0, 0.0, 0.0], [0.0, 0.0, 0.0]]
+        """Logarithms of the factors that stretch the stated intervals: for a job's first sample; for later ones."""
+        self.subgroups: OrderedDict[str, DecayingSketch] = OrderedDict()
+        """Run times over what the class predicted, by subgroup; the most recently used last."""
         self.overdue: Overdue = []
-        """Of jobs that run longer than expected: logarithm over the middle, and weight."""
+        """Overdue jobs without samples of their own."""
 
     @property
-    def in_job(self) -> float:
-        """How far the tasks of one job differ, as a share of how the class's runs do; at most 1."""
-        return min(1.0, self.spread_in_job / max(self.spread_all, 1e-3))
+    def job_spread(self) -> float:
+        """How far the tasks of one job differ, as a share of how far the class's runs differ; at most 1."""
+        return min(1.0, self.job_deviation / max(self.overall_deviation, 1e-3))
 
     @property
-    def by_time(self) -> bool:
-        return self.time_miss < TIME_BETTER * self.ratio_miss
+    def is_time_better(self) -> bool:
+        """Whether run times predict better than ratios to the owner's guess."""
+        return self.time_error < MAX_TIME_ERROR_RATIO * self.ratio_error
 
 
-class _Job:
-    """What a job's own tasks have shown, against what its class said then."""
+class _JobSamples:
+    """How a job's own samples compare with what its class predicted at the time."""
 
-    __slots__ = ("count", "mean", "overdue")
+    __slots__ = ("count", "mean_log_error", "overdue")
 
     def __init__(self) -> None:
         self.count = 0
-        self.mean = 0.0
+        self.mean_log_error = 0.0
         self.overdue: Overdue = []
-        """Of its own tasks that run longer than the others took: short ones end first, and the
-        rest of an array once always took longer than was said."""
+        """The job's tasks that run longer than the others took. Short tasks end first, so without these the rest of
+        an array always took longer than predicted."""
 
 
-class _Kept:
-    """A job's curve for a few seconds, with what was asked of it: a leader asks the same of
-    thousands of tasks in every pass."""
+class _CachedCurve:
+    """A job's curve for a few seconds, with results computed from it: in every pass the leader makes the same queries
+    for thousands of tasks."""
 
-    __slots__ = ("_lefts", "at", "curve", "middle")
+    __slots__ = ("_remaining_s", "computed_at", "curve", "median_s")
 
-    def __init__(self, at: float, curve: Curve) -> None:
-        self.at = at
+    def __init__(self, computed_at: float, curve: Curve) -> None:
+        self.computed_at = computed_at
         self.curve = curve
-        self.middle = curve.at(TYPICAL)
-        self._lefts: dict[tuple[int, float], Seconds] = {}
+        self.median_s = curve.quantile(TYPICAL)
+        self._remaining_s: dict[tuple[int, float], Seconds] = {}
 
-    def left(self, ran: Seconds, q: float) -> Seconds:
-        """As the curve says, `ran` taken to within half a second."""
-        key = (int(2 * ran), q)
-        left = self._lefts.get(key)
-        if left is None:
-            if len(self._lefts) >= MAX_KEPT_LEFTS:
-                self._lefts.clear()
-            left = self._lefts[key] = self.curve.left(key[0] / 2, q)
-        return left
+    def remaining(self, elapsed_s: Seconds, q: float) -> Seconds:
+        """Return `Curve.remaining`, with `elapsed_s` rounded down to half a second."""
+        key = (int(2 * elapsed_s), q)
+        remaining_s = self._remaining_s.get(key)
+        if remaining_s is None:
+            if len(self._remaining_s) >= MAX_CACHED_REMAINING_TIMES:
+                self._remaining_s.clear()
+            remaining_s = self._remaining_s[key] = self.curve.remaining(key[0] / 2, q)
+        return remaining_s
 
 
 class _Level(NamedTuple):
-    """Logs, and their mean, that still lack `guessed` times the logarithm of the owner's guess."""
+    """The prediction of one level. `guess_share` times the logarithm of the owner's guess is still to be added."""
 
-    logs: Logs
-    centre: float
-    guessed: float
+    log_quantiles: LogQuantiles
+    log_mean: float
+    guess_share: float
 
 
 class Learned:
-    """Takes ends, gives curves. Bounded in classes, parts, jobs and machines."""
+    """Learns from samples and predicts run times. The numbers of classes, subgroups, jobs and machines are bounded."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._lock = RLock()
         self._entries: OrderedDict[str, Entry] = OrderedDict()
-        self._stored: dict[str, msgspec.Raw] = {}
-        """By key: records as read, looked at when their class is first asked for."""
-        self._foreign: set[str] = set()
-        """Keys that a newer program wrote."""
-        self._jobs: OrderedDict[str, _Job] = OrderedDict()
+        """By name; the most recently used last."""
+        self._stored_records: dict[str, msgspec.Raw] = {}
+        """By key: records as they were read, decoded when their entry is first needed."""
+        self._newer_keys: set[str] = set()
+        """Keys of records in a format of a newer program."""
+        self._jobs: OrderedDict[str, _JobSamples] = OrderedDict()
         self._machines: OrderedDict[str, tuple[int, float]] = OrderedDict()
-        self._fleet = 0.0
-        self._levels: dict[tuple[str, str, str, str, bool], tuple[float, _Level, _Level]] = {}
-        self._by_job: dict[tuple[str, str], _Kept] = {}
+        """By machine: the number of samples and the moving average of their log errors."""
+        self._fleet_log_error = 0.0
+        """The moving average over all machines that are not slow."""
+        self._class_cache: dict[tuple[str, str, str, str, bool], tuple[float, _Level, _Level]] = {}
+        """By features without the guess: the time, the class's level, and its level with a subgroup."""
+        self._curve_cache: dict[tuple[str, str], _CachedCurve] = {}
+        """By job and machine type."""
         self.unsaved: dict[str, float] = {}
-        """Entries that changed since they were stored, by how many ends."""
-        self.dropped: set[str] = set()
-        """Keys of entries that went for others."""
+        """By name: the weight of the samples since the entry was stored."""
+        self.evicted_keys: set[str] = set()
+        """Keys of entries that were evicted, whose records are to be deleted."""
 
-    # What is asked
+    # Predicting
 
     def run(self, spec: JobSpec, q: float = TYPICAL) -> Seconds:
-        kept = self._kept(spec, "")
-        return kept.middle if q == TYPICAL else kept.curve.at(q)
+        """Return the quantile `q` of the run time of the job's tasks."""
+        cached = self._cached_curve(spec, "")
+        return cached.median_s if q == TYPICAL else cached.curve.quantile(q)
 
-    def left(self, spec: JobSpec, ran: Seconds, q: float = TYPICAL, machine_type: str = "") -> Seconds:
-        return inf if spec.kind is jm.JobKind.SERVICE else self._kept(spec, machine_type).left(ran, q)
+    def left(self, spec: JobSpec, elapsed_s: Seconds, q: float = TYPICAL, machine_type: str = "") -> Seconds:
+        """Return the quantile `q` of the remaining time of a run that has lasted `elapsed_s`.
+
+        It is infinite for a service, which runs until it is cancelled."""
+        return (
+            inf if spec.kind is jm.JobKind.SERVICE else self._cached_curve(spec, machine_type).remaining(elapsed_s, q)
+        )
 
     def curve_of(self, spec: JobSpec) -> Curve:
-        """A job's curve, at most some seconds old."""
-        return self._kept(spec, "").curve
+        """Return the job's curve, at most `JOB_CACHE_S` old."""
+        return self._cached_curve(spec, "").curve
 
-    def _kept(self, spec: JobSpec, machine_type: str) -> _Kept:
+    def _cached_curve(self, spec: JobSpec, machine_type: str) -> _CachedCurve:
         now = self._clock.seconds()
         with self._lock:
-            kept = self._by_job.get((spec.id, machine_type))
-            if kept is None or now - kept.at >= JOB_KEPT_S:
-                if len(self._by_job) >= MAX_JOBS:
-                    self._by_job.clear()
-                kept = _Kept(now, self.curve(kind_of(spec, machine_type)))
-                self._by_job[spec.id, machine_type] = kept
-            return kept
-
-    def curve(self, kind: Kind) -> Curve:
-        """The predicted distribution, with its stated intervals stretched to hold."""
+            cached = self._curve_cache.get((spec.id, machine_type))
+            if cached is None or now - cached.computed_at >= JOB_CACHE_S:
+                if len(self._curve_cache) >= MAX_JOBS:
+                    self._curve_cache.clear()
+                cached = _CachedCurve(now, self.curve(features_of(spec, machine_type)))
+                self._curve_cache[spec.id, machine_type] = cached
+            return cached
+
+    def curve(self, features: RunFeatures) -> Curve:
+        """Return the predicted distribution, its stated intervals stretched to cover what they state."""
         with self._lock:
-            entry = self._entry(m.class_name(kind.job_class))
-            logs = self._expected(kind)[1]
-            job = self._jobs.get(kind.job) if kind.job else None
+            entry = self._find_entry(m.class_entry_name(features.job_class))
+            log_quantiles = self._expected(features)[1]
+            job = self._jobs.get(features.job) if features.job else None
             if entry is None:
-                return Curve(self._with_job(logs, job, None))
-            widths = entry.widths[1 if job is not None else 0]
-            logs = widened(self._with_job(logs, job, entry), (exp(widths[0]), exp(widths[1]), exp(widths[2])))
-            return Curve(self._with_overdue(logs, entry, job))
+                return Curve(self._apply_job_samples(log_quantiles, job, None))
+            log_widths = entry.log_widths[1 if job is not None else 0]
+            log_quantiles = widen(
+                self._apply_job_samples(log_quantiles, job, entry),
+                (exp(log_widths[0]), exp(log_widths[1]), exp(log_widths[2])),
+            )
+            return Curve(self._apply_overdue(log_quantiles, entry, job))
 
     @staticmethod
-    def _with_overdue(logs: Logs, entry: Entry, job: _Job | None) -> Logs:
+    def _apply_overdue(log_quantiles: LogQuantiles, entry: Entry, job: _JobSamples | None) -> LogQuantiles:
         if job is not None:
-            return with_overdue(logs, job.overdue, job.count) if job.overdue else logs
-        return with_overdue(logs, entry.overdue, entry.time.weight) if entry.overdue else logs
-
-    def _with_job(self, logs: Logs, job: _Job | None, entry: Entry | None) -> Logs:
-        """Moved to where the job's own ends lie, and narrowed as far as its class's jobs are
-        alike within themselves."""
+            return add_overdue(log_quantiles, job.overdue, job.count) if job.overdue else log_quantiles
+        return add_overdue(log_quantiles, entry.overdue, entry.time.weight) if entry.overdue else log_quantiles
+
+    def _apply_job_samples(
+        self, log_quantiles: LogQuantiles, job: _JobSamples | None, entry: Entry | None
+    ) -> LogQuantiles:
+        """Shift the curve to the job's own samples, and narrow it by how similar the tasks of one job are in the
+        class."""
         if job is None:
-            return logs
-        narrow = 0.5 if entry is None else max(0.1, entry.in_job)
-        # As if its class's jobs were normal around the class, and its tasks around it.
-        weight = job.count / (job.count + narrow * narrow)
-        factor = 1 - weight * (1 - narrow)
-        return shifted(widened(logs, (factor, factor, factor)), weight * job.mean)
-
-    def _expected(self, kind: Kind) -> tuple[float, Logs]:
-        """What the class is expected to take on the mean of logarithms, and the quantiles with
-        the part that tells most."""
-        has_guess = kind.guess > 0
-        key = (kind.job_class, kind.team, kind.shape, kind.machine_type, has_guess)
+            return log_quantiles
+        job_spread = 0.5 if entry is None else max(0.1, entry.job_spread)
+        # The posterior of a normal model: jobs vary around their class, and tasks around their job.
+        weight = job.count / (job.count + job_spread * job_spread)
+        factor = 1 - weight * (1 - job_spread)
+        return shift(widen(log_quantiles, (factor, factor, factor)), weight * job.mean_log_error)
+
+    def _expected(self, features: RunFeatures) -> tuple[float, LogQuantiles]:
+        """Return the class's mean of logarithms, and the log quantiles with the subgroup that differs most.
+
+        Neither includes the job's own samples."""
+        has_guess = features.guess_s > 0
+        key = (features.job_class, features.team, features.shape, features.machine_type, has_guess)
         now = self._clock.seconds()
-        kept = self._levels.get(key)
-        if kept is None or now - kept[0] >= KEPT_S:
-            if len(self._levels) >= MAX_JOBS:
-                self._levels.clear()
-            kept = self._levels[key] = (now, *self._work_out(kind, has_guess))
-        by = log(max(kind.guess, LEAST_S)) if has_guess else 0.0
-        _, level, with_part = kept
-        return level.centre + level.guessed * by, shifted(with_part.logs, with_part.guessed * by)
-
-    def _work_out(self, kind: Kind, has_guess: bool) -> tuple[_Level, _Level]:
+        cached = self._class_cache.get(key)
+        if cached is None or now - cached[0] >= CLASS_CACHE_S:
+            if len(self._class_cache) >= MAX_JOBS:
+                self._class_cache.clear()
+            cached = self._class_cache[key] = (now, *self._compute_levels(features, has_guess))
+        log_guess = log(max(features.guess_s, MIN_RUN_S)) if has_guess else 0.0
+        _, level, subgroup_level = cached
+        return (
+            level.log_mean + level.guess_share * log_guess,
+            shift(subgroup_level.log_quantiles, subgroup_level.guess_share * log_guess),
+        )
+
+    def _compute_levels(self, features: RunFeatures, has_guess: bool) -> tuple[_Level, _Level]:
+        """Return the class's level, and its level with the subgroup that differs most."""
         if has_guess:
-            level = _Level(spread(0.0, GUESS_SIGMA), 0.0, 1.0)
+            level = _Level(lognormal(0.0, GUESS_SIGMA), 0.0, 1.0)
         else:
-            level = _Level(spread(log(NO_GUESS_S), NO_GUESS_SIGMA), log(NO_GUESS_S), 0.0)
-        for name in (m.EVERYTHING, m.team_name(kind.team), m.class_name(kind.job_class)):
-            entry = self._entry(name)
+            level = _Level(lognormal(log(DEFAULT_RUN_S), DEFAULT_SIGMA), log(DEFAULT_RUN_S), 0.0)
+        for name in (m.ALL_WORK, m.team_entry_name(features.team), m.class_entry_name(features.job_class)):
+            entry = self._find_entry(name)
             if entry is None:
                 continue
-            by_time = not has_guess or (entry.by_time and name.startswith("c/"))
-            track = entry.time if by_time else entry.ratio
-            if track.weight > 0:
-                level = _lean(
-                    level, track.logs(), track.centre(), track.weight, track.slow.weight, 0.0 if by_time else 1.0
+            uses_time = not has_guess or (entry.is_time_better and name.startswith("c/"))
+            distribution = entry.time if uses_time else entry.ratio
+            if distribution.weight > 0:
+                level = _shrink(
+                    level,
+                    distribution.log_quantiles(),
+                    distribution.log_mean(),
+                    distribution.weight,
+                    distribution.slow.weight,
+                    0.0 if uses_time else 1.0,
                 )
-        entry = self._entry(m.class_name(kind.job_class))
-        return level, level if entry is None else self._with_part(level, entry, kind)
+        entry = self._find_entry(m.class_entry_name(features.job_class))
+        return level, level if entry is None else self._apply_subgroup(level, entry, features)
 
-    def _with_part(self, level: _Level, entry: Entry, kind: Kind) -> _Level:
-        """Parts hold runs over what the class expected of them. Only the part that stands out
-        most is used: parts go together (a team that always asks for one shape), and their
+    def _apply_subgroup(self, level: _Level, entry: Entry, features: RunFeatures) -> _Level:
+        """Shrink the level towards the subgroup that differs most from its class, if one differs significantly.
+
+        Only one is used because subgroups are correlated (a team that always uses one shape), so that their
         differences would be counted twice."""
-        best: tuple[float, Decayed] | None = None
-        for name in _parts(kind):
-            part = entry.parts.get(name)
-            if part is None or part.weight < PART_FROM:
+        best: tuple[float, DecayingSketch] | None = None
+        for name in _subgroup_names(features):
+            subgroup = entry.subgroups.get(name)
+            if subgroup is None or subgroup.weight < MIN_SUBGROUP_WEIGHT:
                 continue
-            logs = part.logs()
-            sigma = max(0.02, (logs[5] - logs[1]) / 2.56)
-            apart = abs(logs[MIDDLE]) * sqrt(part.weight) / sigma
-            if apart > PART_APART and abs(logs[MIDDLE]) > PART_LEAST and (best is None or apart > best[0]):
-                best = (apart, part)
+            log_quantiles = subgroup.log_quantiles()
+            sigma = max(0.02, (log_quantiles[5] - log_quantiles[1]) / 2.56)
+            z_score = abs(log_quantiles[MEDIAN_INDEX]) * sqrt(subgroup.weight) / sigma
+            if (
+                z_score > MIN_SUBGROUP_Z_SCORE
+                and abs(log_quantiles[MEDIAN_INDEX]) > MIN_SUBGROUP_LOG_OFFSET
+                and (best is None or z_score > best[0])
+            ):
+                best = (z_score, subgroup)
         if best is None:
             return level
-        part = best[1]
-        own = shifted(part.logs(), level.centre)
-        return _lean(level, own, level.centre, part.weight, part.weight, level.guessed)
+        subgroup = best[1]
+        own = shift(subgroup.log_quantiles(), level.log_mean)
+        return _shrink(level, own, level.log_mean, subgroup.weight, subgroup.weight, level.guess_share)
 
     def alike(self, spec: JobSpec) -> float:
-        """How far the tasks of one job of the class differ, as a share of how its runs do."""
+        """Return how far the tasks of one job of the class differ, as a share of how far the class's runs differ."""
         with self._lock:
-            entry = self._entry(m.class_name(spec.job_class))
-            return 0.5 if entry is None else entry.in_job
+            entry = self._find_entry(m.class_entry_name(spec.job_class))
+            return 0.5 if entry is None else entry.job_spread
+
+    def foresee(self, stage: str, median_s: Seconds) -> tuple[Seconds, Seconds, Seconds]:
+        """Return the 10, 50 and 90% quantiles of a completion time, by how far earlier forecasts were off.
 
-    def foresee(self, stage: str, middle: Seconds) -> tuple[Seconds, Seconds, Seconds]:
-        """A finish that was worked out, with the interval that such times have held to lately:
-        it is done sooner in one, five and nine cases of ten."""
+        `median_s` is the median that was computed without these errors; `stage` is the job's stage at the time."""
         with self._lock:
-            entry = self._entry(m.finish_name(stage))
-            level = _Level(spread(0.0, GUESS_SIGMA), 0.0, 0.0)
+            entry = self._find_entry(m.completion_entry_name(stage))
+            level = _Level(lognormal(0.0, GUESS_SIGMA), 0.0, 0.0)
             if entry is not None and entry.ratio.weight > 0:
-                level = _lean(level, entry.ratio.logs(), 0.0, entry.ratio.weight, entry.ratio.slow.weight, 0.0)
-            curve = Curve(shifted(level.logs, log(max(LEAST_S, middle))))
-            return curve.at(0.1), curve.at(0.5), curve.at(0.9)
+                level = _shrink(
+                    level, entry.ratio.log_quantiles(), 0.0, entry.ratio.weight, entry.ratio.slow.weight, 0.0
+                )
+            curve = Curve(shift(level.log_quantiles, log(max(MIN_RUN_S, median_s))))
+            return curve.quantile(0.1), curve.quantile(0.5), curve.quantile(0.9)
 
-    def came(self, stage: str, middle: Seconds, took: Seconds) -> None:
-        """A job was done `took` seconds after `middle` was foreseen for it."""
-        if not (isfinite(took) and took > 0 and middle > 0):
+    def came(self, stage: str, median_s: Seconds, actual_s: Seconds) -> None:
+        """Learn from a job that was done `actual_s` after a forecast with the median `median_s`."""
+        if not (isfinite(actual_s) and actual_s > 0 and median_s > 0):
             return
         with self._lock:
-            name = m.finish_name(stage)
-            entry = self._made(name)
-            entry.ends += 1
-            entry.ratio.add(took / middle)
+            name = m.completion_entry_name(stage)
+            entry = self._get_or_create_entry(name)
+            entry.sample_count += 1
+            entry.ratio.add(actual_s / median_s)
             self.unsaved[name] = self.unsaved.get(name, 0.0) + 1
 
-    # What is learned
+    # Learning
 
-    def done(self, spec: JobSpec, ran: Seconds, machine: MachineId, machine_type: str) -> None:
-        self.learn(kind_of(spec, machine_type), ran, machine)
+    def done(self, spec: JobSpec, run_s: Seconds, machine_id: MachineId, machine_type: str) -> None:
+        """Learn from a task that completed after running for `run_s`."""
+        self.learn_completed(features_of(spec, machine_type), run_s, machine_id)
 
-    def cut(self, spec: JobSpec, ran: Seconds) -> None:
-        self.learn_cut(kind_of(spec), ran)
+    def cut(self, spec: JobSpec, elapsed_s: Seconds) -> None:
+        """Learn from a run that was interrupted after `elapsed_s`."""
+        self.learn_interrupted(features_of(spec), elapsed_s)
 
-    def learn(self, kind: Kind, ran: Seconds, machine: str = "") -> None:
-        """A completed run."""
-        if not (isfinite(ran) and ran > 0):
+    def learn_completed(self, features: RunFeatures, run_s: Seconds, machine_id: str = "") -> None:
+        """Learn from a completed run. Run times that are not finite and positive, and runs on slow machines, are
+        ignored."""
+        if not (isfinite(run_s) and run_s > 0):
             return
-        ran = max(ran, LEAST_S)
+        run_s = max(run_s, MIN_RUN_S)
         with self._lock:
-            centre, logs = self._expected(kind)
-            miss = max(-MOST_OFF, min(MOST_OFF, log(ran) - logs[MIDDLE]))
-            if machine and self._slow(machine, miss):
+            log_mean, log_quantiles = self._expected(features)
+            log_error = max(-MAX_LOG_ERROR, min(MAX_LOG_ERROR, log(run_s) - log_quantiles[MEDIAN_INDEX]))
+            if machine_id and self._update_machine(machine_id, log_error):
                 return
-            job = self._jobs.get(kind.job) if kind.job else None
-            entry = self._made(m.class_name(kind.job_class))
-            weight = _counts(entry, job)
-            if weight >= WORTH_COUNTING or job is None or job.count % ONE_OF == 0:
-                self._see_widths(entry, kind, ran, job, weight, miss)
-            if weight >= WORTH_COUNTING:
-                residual = max(-MOST_OFF, min(MOST_OFF, log(ran) - centre))
-                for name in _parts(kind):
-                    self._see_part(entry, name, exp(residual), weight)
-                self._add(kind, ran, weight)
-            if kind.job:
-                self._see_job(kind.job, job, miss)
-
-    def learn_cut(self, kind: Kind, ran: Seconds) -> None:
-        """A run that would have gone on. What was cut short tells nothing; what had outlasted
-        half of its like stands for a run of what such runs take, for as much as it outlasted."""
-        if not (isfinite(ran) and ran > 0):
+            job = self._jobs.get(features.job) if features.job else None
+            entry = self._get_or_create_entry(m.class_entry_name(features.job_class))
+            weight = _next_sample_weight(entry, job)
+            if weight >= MIN_SAMPLE_WEIGHT or job is None or job.count % LIGHT_SAMPLE_STRIDE == 0:
+                self._update_widths(entry, features, run_s, job, weight, log_error)
+            if weight >= MIN_SAMPLE_WEIGHT:
+                residual = max(-MAX_LOG_ERROR, min(MAX_LOG_ERROR, log(run_s) - log_mean))
+                for name in _subgroup_names(features):
+                    self._add_to_subgroup(entry, name, exp(residual), weight)
+                self._add_sample(features, run_s, weight)
+            if features.job:
+                self._add_to_job(features.job, job, log_error)
+
+    def learn_interrupted(self, features: RunFeatures, elapsed_s: Seconds) -> None:
+        """Learn from an interrupted run, a right-censored sample.
+
+        One that was shorter than the median is ignored. A longer one counts as a run of the length that such runs are
+        predicted to have, weighted by the share of runs that it outlasted."""
+        if not (isfinite(elapsed_s) and elapsed_s > 0):
             return
         with self._lock:
-            curve = self.curve(kind)
-            passed = curve.share(ran)
-            if passed > 0.5:
-                likely = max(ran, curve.at(passed + (1 - passed) / 2))
-                job = self._jobs.get(kind.job) if kind.job else None
-                self._add(kind, likely, passed * _counts(self._made(m.class_name(kind.job_class)), job))
-
-    def _add(self, kind: Kind, ran: Seconds, weight: float) -> None:
-        for name in (m.EVERYTHING, m.team_name(kind.team), m.class_name(kind.job_class)):
-            entry = self._made(name)
-            entry.ends += weight
-            if kind.guess > 0:
+            curve = self.curve(features)
+            outlasted_share = curve.share_below(elapsed_s)
+            if outlasted_share > 0.5:
+                predicted_s = max(elapsed_s, curve.quantile(outlasted_share + (1 - outlasted_share) / 2))
+                job = self._jobs.get(features.job) if features.job else None
+                self._add_sample(
+                    features,
+                    predicted_s,
+                    outlasted_share
+                    * _next_sample_weight(self._get_or_create_entry(m.class_entry_name(features.job_class)), job),
+                )
+
+    def _add_sample(self, features: RunFeatures, run_s: Seconds, weight: float) -> None:
+        """Add a run time to the entries of all work, the team and the class."""
+        for name in (m.ALL_WORK, m.team_entry_name(features.team), m.class_entry_name(features.job_class)):
+            entry = self._get_or_create_entry(name)
+            entry.sample_count += weight
+            if features.guess_s > 0:
                 if name.startswith("c/") and entry.ratio.weight >= 3 and entry.time.weight >= 3:
-                    keep = min(TRUST_KEEP, 1 - 1 / (entry.ends + 1)) ** weight
-                    by_ratio = min(MOST_OFF, abs(log(ran / kind.guess) - entry.ratio.logs()[MIDDLE]))
-                    by_time = min(MOST_OFF, abs(log(ran) - entry.time.logs()[MIDDLE]))
-                    entry.ratio_miss += (1 - keep) * (by_ratio - entry.ratio_miss)
-                    entry.time_miss += (1 - keep) * (by_time - entry.time_miss)
-                entry.ratio.add(ran / kind.guess, weight)
-            entry.time.add(ran, weight)
+                    keep = min(ERROR_DECAY, 1 - 1 / (entry.sample_count + 1)) ** weight
+                    ratio_error = min(
+                        MAX_LOG_ERROR, abs(log(run_s / features.guess_s) - entry.ratio.log_quantiles()[MEDIAN_INDEX])
+                    )
+                    time_error = min(MAX_LOG_ERROR, abs(log(run_s) - entry.time.log_quantiles()[MEDIAN_INDEX]))
+                    entry.ratio_error += (1 - keep) * (ratio_error - entry.ratio_error)
+                    entry.time_error += (1 - keep) * (time_error - entry.time_error)
+                entry.ratio.add(run_s / features.guess_s, weight)
+            entry.time.add(run_s, weight)
             self.unsaved[name] = self.unsaved.get(name, 0.0) + weight
 
-    def _see_widths(self, entry: Entry, kind: Kind, ran: Seconds, job: _Job | None, weight: float, miss: float) -> None:
-        """Stretch or narrow what is stated by whether it held (adaptive conformal inference,
-        Gibbs and Candès, 2021): over time it then holds as often as it says, whatever the shape."""
-        if entry.ends >= 1:
-            curve = self.curve(kind)
-            widths = entry.widths[1 if job is not None else 0]
-            value = log(ran)
-            for i, ((low, high), stated) in enumerate(zip(PAIRS, STATED, strict=True)):
-                outside = not curve.logs[low] <= value <= curve.logs[high]
-                # One that is looked at for several stands for them.
-                worth = max(weight, LEAST_STEP) if weight >= WORTH_COUNTING else 1.0
-                step = STEP * worth * (stated if outside else stated - 1)
-                widths[i] = max(NARROWEST, min(WIDEST, widths[i] + step))
-        keep = SPREAD_KEEP**weight
-        entry.spread_all += (1 - keep) * (abs(miss) - entry.spread_all)
+    def _update_widths(
+        self,
+        entry: Entry,
+        features: RunFeatures,
+        run_s: Seconds,
+        job: _JobSamples | None,
+        weight: float,
+        log_error: float,
+    ) -> None:
+        """Stretch or narrow the stated intervals by whether they covered the run (adaptive conformal inference, Gibbs
+        and Candès, 2021): over time each covers its stated share, whatever the distribution. Updates the deviations
+        too."""
+        if entry.sample_count >= 1:
+            curve = self.curve(features)
+            log_widths = entry.log_widths[1 if job is not None else 0]
+            log_run = log(run_s)
+            for i, ((low, high), coverage) in enumerate(zip(INTERVAL_INDEXES, INTERVAL_COVERAGES, strict=True)):
+                is_outside = not curve.log_quantiles[low] <= log_run <= curve.log_quantiles[high]
+                # A light sample also represents the light samples that are skipped.
+                step_weight = max(weight, MIN_WIDTH_STEP_WEIGHT) if weight >= MIN_SAMPLE_WEIGHT else 1.0
+                step = WIDTH_STEP * step_weight * (coverage if is_outside else coverage - 1)
+                log_widths[i] = max(MIN_LOG_WIDTH, min(MAX_LOG_WIDTH, log_widths[i] + step))
+        keep = DEVIATION_DECAY**weight
+        entry.overall_deviation += (1 - keep) * (abs(log_error) - entry.overall_deviation)
         if job is not None:
-            entry.spread_in_job += (1 - SPREAD_KEEP**0.5) * (abs(miss - job.mean) - entry.spread_in_job)
-
-    def _see_part(self, entry: Entry, name: str, over: float, weight: float) -> None:
-        from meadowcross.estimates.sketch import Decayed
-
-        part = entry.parts.get(name)
-        if part is None:
-            part = entry.parts[name] = Decayed(PART_HALF_LIFE)
-            if len(entry.parts) > MAX_PARTS:
-                entry.parts.popitem(last=False)
-        entry.parts.move_to_end(name)
-        part.add(over, weight)
-
-    def _see_job(self, name: str, job: _Job | None, miss: float) -> None:
+            entry.job_deviation += (1 - DEVIATION_DECAY**0.5) * (
+                abs(log_error - job.mean_log_error) - entry.job_deviation
+            )
+
+    def _add_to_subgroup(self, entry: Entry, name: str, ratio: float, weight: float) -> None:
+        from meadowcross.estimates.sketch import DecayingSketch
+
+        subgroup = entry.subgroups.get(name)
+        if subgroup is None:
+            subgroup = entry.subgroups[name] = DecayingSketch(SUBGROUP_HALF_LIFE)
+            if len(entry.subgroups) > MAX_SUBGROUPS:
+                entry.subgroups.popitem(last=False)
+        entry.subgroups.move_to_end(name)
+        subgroup.add(ratio, weight)
+
+    def _add_to_job(self, job_id: str, job: _JobSamples | None, log_error: float) -> None:
         if job is None:
-            job = self._jobs[name] = _Job()
+            job = self._jobs[job_id] = _JobSamples()
             if len(self._jobs) > MAX_JOBS:
                 self._jobs.popitem(last=False)
         job.count += 1
-        job.mean += (miss - job.mean) / min(job.count, 16)
-
-    def _slow(self, machine: str, miss: float) -> bool:
-        """Whether the machine's runs take longer than everybody's by more than machines differ:
-        then its ends are its own matter, not its classes'."""
-        count, mean = self._machines.pop(machine, (0, self._fleet))
-        mean = MACHINE_KEEP * mean + (1 - MACHINE_KEEP) * miss
-        self._machines[machine] = (count + 1, mean)
+        job.mean_log_error += (log_error - job.mean_log_error) / min(job.count, 16)
+
+    def _update_machine(self, machine_id: str, log_error: float) -> bool:
+        """Update the machine's mean error, and return whether the machine is slow: its runs take longer than the
+        fleet's by more than machines usually differ. Its samples must then not count for their classes."""
+        count, mean = self._machines.pop(machine_id, (0, self._fleet_log_error))
+        mean = MACHINE_DECAY * mean + (1 - MACHINE_DECAY) * log_error
+        self._machines[machine_id] = (count + 1, mean)
         if len(self._machines) > MAX_MACHINES:
             self._machines.popitem(last=False)
-        slow = count >= MACHINE_FROM and mean - self._fleet > SLOW_LOG
-        if not slow:
-            self._fleet += (1 - FLEET_KEEP) * (miss - self._fleet)
-        return slow
+        is_slow = count >= MIN_MACHINE_SAMPLES and mean - self._fleet_log_error > SLOW_MACHINE_LOG_RATIO
+        if not is_slow:
+            self._fleet_log_error += (1 - FLEET_DECAY) * (log_error - self._fleet_log_error)
+        return is_slow
 
     def watch(self, running: Iterable[tuple[JobSpec, list[Seconds]]]) -> None:
-        """Take the runs that outlast what is expected into account before they end. Told as a
-        whole each time, so a run that ends is simply not there the next time."""
-        overdue: dict[str, list[tuple[float, float]]] = {}
+        """Take overdue runs into account before they end.
+
+        `running` lists the elapsed times of all running tasks, by job. Each call replaces the state of the previous
+        one, so a run that has ended counts no longer."""
+        class_overdue: dict[str, list[tuple[float, float]]] = {}
         with self._lock:
-            for spec, lasted in running:
+            for spec, elapsed_s in running:
                 job = self._jobs.get(spec.id)
-                logs = self._with_job(self._expected(kind_of(spec))[1], job, self._entry(m.class_name(spec.job_class)))
-                late_from = max(LEAST_S, exp(logs[GRID.index(OVERDUE_Q)]))
-                late = [ran for ran in lasted if ran > late_from]
+                log_quantiles = self._apply_job_samples(
+                    self._expected(features_of(spec))[1], job, self._find_entry(m.class_entry_name(spec.job_class))
+                )
+                threshold_s = max(MIN_RUN_S, exp(log_quantiles[QUANTILES.index(OVERDUE_QUANTILE)]))
+                overdue_s = [ran for ran in elapsed_s if ran > threshold_s]
                 if job is not None:
-                    job.overdue = [(log(ran) - logs[MIDDLE], 1.0) for ran in sorted(late)[:MAX_OVERDUE]]
-                elif late:
-                    # As of ends: alike tasks of one job count for little more than one.
-                    weight = sum(1.0 / (i + 1) for i in range(min(len(late), 100)))
-                    over = log(sorted(late)[len(late) // 2]) - logs[MIDDLE]
-                    overdue.setdefault(m.class_name(spec.job_class), []).append((over, weight))
+                    job.overdue = [
+                        (log(ran) - log_quantiles[MEDIAN_INDEX], 1.0) for ran in sorted(overdue_s)[:MAX_OVERDUE_TASKS]
+                    ]
+                elif overdue_s:
+                    # As with samples, similar tasks of one job count for little more than one task.
+                    weight = sum(1.0 / (i + 1) for i in range(min(len(overdue_s), 100)))
+                    log_excess = log(sorted(overdue_s)[len(overdue_s) // 2]) - log_quantiles[MEDIAN_INDEX]
+                    class_overdue.setdefault(m.class_entry_name(spec.job_class), []).append((log_excess, weight))
             for name, entry in self._entries.items():
-                entry.overdue = sorted(overdue.get(name, []))
+                entry.overdue = sorted(class_overdue.get(name, []))
 
-    def forget(self, job: JobId) -> None:
+    def forget(self, job_id: JobId) -> None:
+        """Drop the samples of a job that has ended."""
         with self._lock:
-            self._jobs.pop(job, None)
-            # What was kept of it for some seconds goes when the next is worked out.
-            self._by_job.pop((job, ""), None)
+            self._jobs.pop(job_id, None)
+            # Curves for a machine type stay in the cache, unused, until it is cleared at `MAX_JOBS`.
+            self._curve_cache.pop((job_id, ""), None)
 
     # Entries and their records
 
-    def _entry(self, name: str) -> Entry | None:
+    def _find_entry(self, name: str) -> Entry | None:
         entry = self._entries.get(name)
-        if entry is None and self._stored:
-            entry = self._take_stored(name)
+        if entry is None and self._stored_records:
+            entry = self._load_stored(name)
         return entry
 
-    def _made(self, name: str) -> Entry:
-        """The entry, which is now the most recently used; the least recently used go."""
-        entry = self._entry(name)
+    def _get_or_create_entry(self, name: str) -> Entry:
+        """Return the entry and mark it as the most recently used; evict the least recently used beyond the limit."""
+        entry = self._find_entry(name)
         if entry is None:
-            from meadowcross.estimates.track import Track
+            from meadowcross.estimates.adaptive_distribution import AdaptiveDistribution
 
-            entry = self._entries[name] = Entry(name, Track(), Track())
+            entry = self._entries[name] = Entry(name, AdaptiveDistribution(), AdaptiveDistribution())
         self._entries.move_to_end(name)
-        while len(self._entries) > MAX_CLASSES:
-            gone, _ = self._entries.popitem(last=False)
-            self.unsaved.pop(gone, None)
-            self.dropped.add(m.key_of(gone))
+        while len(self._entries) > MAX_ENTRIES:
+            evicted_name, _ = self._entries.popitem(last=False)
+            self.unsaved.pop(evicted_name, None)
+            self.evicted_keys.add(m.store_key(evicted_name))
         return entry
 
-    def offer(self, key: str, value: msgspec.Raw) -> None:
-        """A record as an earlier leader stored it."""
+    def add_stored(self, key: str, value: msgspec.Raw) -> None:
+        """Add a record that an earlier leader stored; it is decoded when its entry is needed."""
         with self._lock:
-            self._stored[key] = msgspec.Raw(bytes(value))
-            self._levels.clear()
-            self._by_job.clear()
-            for name in [name for name in self._entries if m.key_of(name) == key]:
-                # Learned from since the term began: both count.
-                self._take_stored(name)
-
-    def bound(self) -> None:
-        """Of more stored records than are kept, drop those that nobody has asked for."""
+            self._stored_records[key] = msgspec.Raw(bytes(value))
+            self._class_cache.clear()
+            self._curve_cache.clear()
+            for name in [name for name in self._entries if m.store_key(name) == key]:
+                # The entry has samples of this term already, which are merged with the stored ones.
+                self._load_stored(name)
+
+    def drop_excess_stored(self) -> None:
+        """Drop stored records beyond the limit of entries, among those that were not needed yet."""
         with self._lock:
-            for key in sorted(self._stored)[max(0, MAX_CLASSES - len(self._entries)) :]:
-                del self._stored[key]
-                self.dropped.add(key)
-
-    def _take_stored(self, name: str) -> Entry | None:
-        key = m.key_of(name)
-        raw = self._stored.pop(key, None)
-        known = self._entries.get(name)
-        if raw is None:
-            return known
-        entry = self._read(key, name, raw)
+            for key in sorted(self._stored_records)[max(0, MAX_ENTRIES - len(self._entries)) :]:
+                del self._stored_records[key]
+                self.evicted_keys.add(key)
+
+    def _load_stored(self, name: str) -> Entry | None:
+        """Decode the stored record of an entry, if there is one, and merge it with the samples of this term."""
+        key = m.store_key(name)
+        value = self._stored_records.pop(key, None)
+        current = self._entries.get(name)
+        if value is None:
+            return current
+        entry = self._decode_entry(key, name, value)
         if entry is None:
-            return known
-        if known is not None:
-            entry.ratio, known.ratio = known.ratio, entry.ratio
-            entry.time, known.time = known.time, entry.time
-            entry.ratio.merge(known.ratio)
-            entry.time.merge(known.time)
-            for part, seen in known.parts.items():
-                if part in entry.parts:
-                    seen.merge(entry.parts[part])
-                entry.parts[part] = seen
-            entry.ends += known.ends
+            return current
+        if current is not None:
+            entry.ratio, current.ratio = current.ratio, entry.ratio
+            entry.time, current.time = current.time, entry.time
+            entry.ratio.merge(current.ratio)
+            entry.time.merge(current.time)
+            for subgroup_name, subgroup in current.subgroups.items():
+                if subgroup_name in entry.subgroups:
+                    subgroup.merge(entry.subgroups[subgroup_name])
+                entry.subgroups[subgroup_name] = subgroup
+            entry.sample_count += current.sample_count
         self._entries[name] = entry
         return entry
 
-    def _read(self, key: str, name: str, raw: msgspec.Raw) -> Entry | None:
-        """One that can't be read is set aside with a line in the log; nothing else suffers."""
-        from meadowcross.estimates.sketch import Decayed
-        from meadowcross.estimates.track import Track
+    def _decode_entry(self, key: str, name: str, value: msgspec.Raw) -> Entry | None:
+        """Return the entry of a record; None, with a log line, for a record that can't be decoded."""
+        from meadowcross.estimates.adaptive_distribution import AdaptiveDistribution
+        from meadowcross.estimates.sketch import DecayingSketch
 
         try:
-            version = m.decode_version(raw).v
-            if version > m.FORMAT:
-                self._foreign.add(key)
-                raise ValueError(f"format {version} is newer than {m.FORMAT}; it is left as it is")
-            record = m.decode_entry(raw)
+            version = m.decode_version(value).v
+            if version > m.FORMAT_VERSION:
+                self._newer_keys.add(key)
+                raise ValueError(f"format {version} is newer than {m.FORMAT_VERSION}; the record is not overwritten")
+            record = m.decode_entry(value)
             if version < 1 or record.name != name:
-                raise ValueError("not a record of this entry")
+                raise ValueError("the record's format version or entry name is not the expected one")
         except (msgspec.DecodeError, ValueError, UnicodeDecodeError) as error:
-            log_to.info("what was learned under %s is set aside: %s", key, error)
+            logger.info("ignoring unreadable estimates record key=%s error=%s", key, error)
             return None
-        entry = Entry(name, Track.of(record.ratio), Track.of(record.time))
-        entry.ends = record.ends
-        entry.ratio_miss, entry.time_miss = record.errors
-        entry.spread_all, entry.spread_in_job = record.spreads
-        entry.widths = [list(record.widths[0]), list(record.widths[1])]
-        for part, bins in list(record.parts.items())[:MAX_PARTS]:
-            entry.parts[part] = Decayed.of(PART_HALF_LIFE, bins)
+        entry = Entry(
+            name, AdaptiveDistribution.from_record(record.ratio), AdaptiveDistribution.from_record(record.time)
+        )
+        entry.sample_count = record.ends
+        entry.ratio_error, entry.time_error = record.errors
+        entry.overall_deviation, entry.job_deviation = record.spreads
+        entry.log_widths = [list(record.widths[0]), list(record.widths[1])]
+        for subgroup_name, bins in list(record.parts.items())[:MAX_SUBGROUPS]:
+            entry.subgroups[subgroup_name] = DecayingSketch.from_bins(SUBGROUP_HALF_LIFE, bins)
         return entry
 
-    def record(self, name: str, most: int) -> bytes | None:
-        """The entry as it is stored, in at most so many bytes: parts go first, the least used
-        before the others. None: there is none, or its key is not ours to write."""
+    def encode_entry(self, name: str, max_bytes: int) -> bytes | None:
+        """Return the entry's record in at most `max_bytes`, without its least recently used subgroups if necessary.
+
+        Returns None if there is no such entry, if its record was written by a newer program, or if it is too large
+        even without subgroups."""
         with self._lock:
             entry = self._entries.get(name)
-            if entry is None or m.key_of(name) in self._foreign:
+            if entry is None or m.store_key(name) in self._newer_keys:
                 return None
-            parts = {part: seen.rounded() for part, seen in entry.parts.items()}
+            subgroups = {subgroup_name: subgroup.rounded_bins() for subgroup_name, subgroup in entry.subgroups.items()}
             while True:
-                first, others = entry.widths
-                made = m.encode(
+                first_widths, later_widths = entry.log_widths
+                encoded = m.encode(
                     m.EntryRecord(
-                        m.FORMAT,
+                        m.FORMAT_VERSION,
                         name,
-                        round(entry.ends, 3),
-                        entry.ratio.record(),
-                        entry.time.record(),
-                        (round(entry.ratio_miss, 4), round(entry.time_miss, 4)),
-                        (round(entry.spread_all, 4), round(entry.spread_in_job, 4)),
-                        (_three(first), _three(others)),
-                        parts,
+                        round(entry.sample_count, 3),
+                        entry.ratio.to_record(),
+                        entry.time.to_record(),
+                        (round(entry.ratio_error, 4), round(entry.time_error, 4)),
+                        (round(entry.overall_deviation, 4), round(entry.job_deviation, 4)),
+                        (_round_widths(first_widths), _round_widths(later_widths)),
+                        subgroups,
                     )
                 )
-                if len(made) <= most:
-                    return made
-                if not parts:
-                    log_to.info("what was learned of %.60s needs %d bytes: not stored", name, len(made))
+                if len(encoded) <= max_bytes:
+                    return encoded
+                if not subgroups:
+                    logger.info("estimates record is too large to store entry=%.60s bytes=%d", name, len(encoded))
                     return None
-                del parts[next(iter(parts))]
+                del subgroups[next(iter(subgroups))]
 
-    def reset(self, key: str) -> None:
-        """An operator dropped the record: start anew."""
+    def reset_entry(self, key: str) -> None:
+        """Drop all samples of an entry whose record an operator has deleted."""
         with self._lock:
-            self._stored.pop(key, None)
-            self._foreign.discard(key)
-            for name in [name for name in self._entries if m.key_of(name) == key]:
+            self._stored_records.pop(key, None)
+            self._newer_keys.discard(key)
+            for name in [name for name in self._entries if m.store_key(name) == key]:
                 del self._entries[name]
                 self.unsaved.pop(name, None)
-                log_to.info("what was learned of %.60s is forgotten", name)
-            self._levels.clear()
-            self._by_job.clear()
+                logger.info("reset estimates, record was deleted entry=%.60s", name)
+            self._class_cache.clear()
+            self._curve_cache.clear()
 
     def entries(self) -> list[Entry]:
+        """Return the entries in memory, without stored records that were not needed yet."""
         with self._lock:
             return list(self._entries.values())
 
 
-def _counts(entry: Entry, job: _Job | None) -> float:
-    """For how much a job's next end counts. What n tasks that are alike tell is worth
-    n / (1 + (n - 1) r) independent runs, r the share of the class's variance that lies between
-    its jobs: hundreds of alike tasks of one job would else pass for a change of their class."""
+def _next_sample_weight(entry: Entry, job: _JobSamples | None) -> float:
+    """Return the weight of a job's next sample.
+
+    n correlated samples are worth n / (1 + (n - 1) r) independent ones, where r is the share of the class's variance
+    that lies between its jobs. With full weights, hundreds of similar tasks of one job would be detected as a change
+    of their class."""
     if job is None:
         return 1.0
-    alike = 1 - entry.in_job**2
-    before, after = (n / (1 + (n - 1) * alike) for n in (job.count, job.count + 1))
+    correlation = 1 - entry.job_spread**2
+    before, after = (n / (1 + (n - 1) * correlation) for n in (job.count, job.count + 1))
     return after - before
 
 
-def _lean(level: _Level, own: Logs, centre: float, weight: float, known: float, guessed: float) -> _Level:
-    """The level above, drawn towards `own` by how many ends that rests on. Where its runs differ
-    little, few of them tell more than the level above: as if both were normal. `known` ends
-    stand behind that spread; of few the spread itself is not known."""
-    above = max(1e-3, level.logs[5] - level.logs[1])
-    narrow = ((own[5] - own[1]) / above) ** 2
-    lean = min(1.0, max(narrow, 1.0 / max(known, 1.0), LEAST_LEAN))
-    middle = weight / (weight + LEAN * lean)
-    shares = [weight / (weight + tail * lean) for tail in TAILS]
-    centre = middle * centre + (1 - middle) * level.centre
-    if guessed != level.guessed:
-        # Seconds and ratios only mix with one share for the whole curve.
-        return _Level(blend(own, middle, level.logs), centre, middle * guessed + (1 - middle) * level.guessed)
-    logs = tuple(s * a + (1 - s) * b for s, a, b in zip(shares, own, level.logs, strict=True))
-    return _Level(ascending(logs), centre, level.guessed)
-
-
-def with_overdue(logs: Logs, overdue: Overdue, ends: float) -> Logs:
-    """As if the overdue runs had ended a little later than now, beside so many ends."""
-    count = max(1.0, min(OVERDUE_COUNTS, ends))
-    late = sum(weight for _, weight in overdue)
-    curve = Curve(logs)
-    moved = []
-    for q in GRID:
-        rank = q * (count + late) / count
-        value = curve.log_at(min(rank, GRID[-1]))
-        if rank > OVERDUE_Q:
-            over = overdue[min(len(overdue) - 1, int(len(overdue) * (rank - OVERDUE_Q)))][0]
-            value = max(value, logs[MIDDLE] + over + OVERDUE_GROWTH)
-        moved.append(value)
-    return ascending(tuple(moved))
-
-
-def _parts(kind: Kind) -> list[str]:
-    parts = ["t/" + kind.team[:60], "s/" + kind.shape]
-    if kind.machine_type:
-        parts.append("m/" + kind.machine_type[:60])
-    return parts
-
-
-def _three(values: list[float]) -> tuple[float, float, float]:
-    return round(values[0], 4), round(values[1], 4), round(values[2], 4)
+def _shrink(
+    above: _Level, own: LogQuantiles, own_log_mean: float, weight: float, spread_weight: float, own_guess_share: float
+) -> _Level:
+    """Return the level above, shrunk towards the log quantiles `own` by the number of samples, `weight`.
+
+    The narrower `own` is, the fewer samples outweigh the level above, as if both were normal distributions. This
+    scaling is limited by `spread_weight`, the samples behind the spread of `own`: few samples do not show a spread."""
+    above_width = max(1e-3, above.log_quantiles[5] - above.log_quantiles[1])
+    variance_ratio = ((own[5] - own[1]) / above_width) ** 2
+    prior_scale = min(1.0, max(variance_ratio, 1.0 / max(spread_weight, 1.0), MIN_PRIOR_SCALE))
+    median_share = weight / (weight + PRIOR_WEIGHT * prior_scale)
+    shares = [weight / (weight + prior_weight * prior_scale) for prior_weight in QUANTILE_PRIOR_WEIGHTS]
+    log_mean = median_share * own_log_mean + (1 - median_share) * above.log_mean
+    if own_guess_share != above.guess_share:
+        # Times and ratios can only be blended with one share for the whole curve.
+        return _Level(
+            blend(own, median_share, above.log_quantiles),
+            log_mean,
+            median_share * own_guess_share + (1 - median_share) * above.guess_share,
+        )
+    log_quantiles = tuple(s * a + (1 - s) * b for s, a, b in zip(shares, own, above.log_quantiles, strict=True))
+    return _Level(make_ascending(log_quantiles), log_mean, above.guess_share)
+
+
+def add_overdue(log_quantiles: LogQuantiles, overdue: Overdue, sample_count: float) -> LogQuantiles:
+    """Return the curve as if the overdue runs ended a little later than now, in addition to `sample_count` samples."""
+    count = max(1.0, min(MAX_WEIGHT_AGAINST_OVERDUE, sample_count))
+    overdue_weight = sum(weight for _, weight in overdue)
+    curve = Curve(log_quantiles)
+    raised = []
+    for q in QUANTILES:
+        rank = q * (count + overdue_weight) / count
+        value = curve.log_quantile(min(rank, QUANTILES[-1]))
+        if rank > OVERDUE_QUANTILE:
+            log_excess = overdue[min(len(overdue) - 1, int(len(overdue) * (rank - OVERDUE_QUANTILE)))][0]
+            value = max(value, log_quantiles[MEDIAN_INDEX] + log_excess + OVERDUE_LOG_MARGIN)
+        raised.append(value)
+    return make_ascending(tuple(raised))
+
+
+def _subgroup_names(features: RunFeatures) -> list[str]:
+    names = ["t/" + features.team[:60], "s/" + features.shape]
+    if features.machine_type:
+        names.append("m/" + features.machine_type[:60])
+    return names
+
+
+def _round_widths(log_widths: list[float]) -> tuple[float, float, float]:
+    return round(log_widths[0], 4), round(log_widths[1], 4), round(log_widths[2], 4)
--- a/meadowcross/estimates/replay.py
+++ b/meadowcross/estimates/replay.py
@@ -1,4 +1,4 @@
-"""Predicted against actual: a history played through the learned estimates and two baselines."""
+"""Replays a history of runs, and compares the predictions of the learned estimates and two baselines with it."""
 
 from __future__ import annotations
 
@@ -10,135 +10,159 @@
 from twisted.internet.task import Clock
 
 from meadowcross.common.types import Seconds
-from meadowcross.estimates.curve import STATED, score_of
+from meadowcross.estimates.curve import INTERVAL_COVERAGES, normal_score
 from meadowcross.estimates.history import Run
-from meadowcross.estimates.learned import KEPT_S, Learned
-from meadowcross.estimates.runs import MEAN_KEEP, MOST_OFF
+from meadowcross.estimates.learned import CLASS_CACHE_S, Learned
+from meadowcross.estimates.runs import MAX_RATIO, MEAN_SMOOTHING
 
-AFTER = 50
+DEFAULT_WARM_UP_RUNS = 50
 """Runs of a class before its predictions are judged."""
-NEAR = 0.20
-OWNERS_ERROR = 0.5
-"""The spread that an owner's guess is given as a baseline: it is often wrong by half."""
+MAX_RELATIVE_ERROR = 0.20
+"""For a prediction to count in `within_20`."""
+GUESS_SIGMA_RATIO = 0.5
+"""Standard deviation of an owner's guess as a baseline, as a share of the guess: it is often wrong by half."""
 
 Interval = tuple[Seconds, Seconds]
 
 
-class Said(Struct):
-    """A prediction: the middle and the stated intervals."""
+class Prediction(Struct):
+    """The median of a predicted run time, and its stated intervals of 50, 80 and 95%."""
 
-    middle: Seconds
+    median_s: Seconds
     intervals: tuple[Interval, Interval, Interval]
 
 
 class Predictor(Protocol):
-    def say(self, run: Run) -> Said: ...
-    def see(self, run: Run) -> None: ...
+    """A method of prediction, which gets the runs of a history one by one."""
 
+    def predict(self, run: Run) -> Prediction:
+        """Predict the run before it is observed; `seconds` and `outcome` must not be used."""
+        ...
 
-def normal(mean: Seconds, sigma: Seconds) -> Said:
-    """With the intervals of a normal distribution, cut off at 0."""
-    spans = [sigma * score_of((1 + stated) / 2) for stated in STATED]
+    def observe(self, run: Run) -> None:
+        """Learn from the run's outcome."""
+        ...
+
+
+def normal_prediction(mean: Seconds, sigma: Seconds) -> Prediction:
+    """Return a prediction with the intervals of a normal distribution, cut off at 0."""
+    spans = [sigma * normal_score((1 + coverage) / 2) for coverage in INTERVAL_COVERAGES]
     low, mid, high = ((max(0.0, mean - span), mean + span) for span in spans)
-    return Said(mean, (low, mid, high))
+    return Prediction(mean, (low, mid, high))
+
 
+class LearnedPredictor:
+    """The learned estimates, as a leader uses them."""
 
-class ByLearning:
     def __init__(self) -> None:
         self._clock = Clock()
         self.learned = Learned(self._clock)
 
-    def say(self, run: Run) -> Said:
-        curve = self.learned.curve(run.kind)
-        low, mid, high = ((curve.at((1 - s) / 2), curve.at((1 + s) / 2)) for s in STATED)
-        return Said(curve.at(0.5), (low, mid, high))
+    def predict(self, run: Run) -> Prediction:
+        """Return the quantiles of the learned curve."""
+        curve = self.learned.curve(run.features)
+        low, mid, high = ((curve.quantile((1 - c) / 2), curve.quantile((1 + c) / 2)) for c in INTERVAL_COVERAGES)
+        return Prediction(curve.quantile(0.5), (low, mid, high))
 
-    def see(self, run: Run) -> None:
+    def observe(self, run: Run) -> None:
+        """Learn from the run, and let the cached curves expire."""
         if run.outcome == "done":
-            self.learned.learn(run.kind, run.seconds, run.machine)
+            self.learned.learn_completed(run.features, run.seconds, run.machine)
         else:
-            self.learned.learn_cut(run.kind, run.seconds)
-        # What is kept for a second is worked out anew for the next run.
-        self._clock.advance(KEPT_S)
+            self.learned.learn_interrupted(run.features, run.seconds)
+        self._clock.advance(CLASS_CACHE_S)
 
 
-class ByOwner:
-    """The owner's guess as it is."""
+class GuessPredictor:
+    """Baseline: the owner's guess as it is."""
 
-    def say(self, run: Run) -> Said:
-        return normal(run.estimate, OWNERS_ERROR * run.estimate)
+    def predict(self, run: Run) -> Prediction:
+        """Return the guess with a fixed relative spread."""
+        return normal_prediction(run.estimate, GUESS_SIGMA_RATIO * run.estimate)
 
-    def see(self, run: Run) -> None:
-        """An owner learns nothing."""
+    def observe(self, run: Run) -> None:
+        """Do nothing: this baseline does not learn."""
 
 
-class ByMean:
-    """The guess, corrected by the smoothed mean of its class, with the variance seen so far."""
+class MeanPredictor:
+    """Baseline: the owner's guess, corrected by the moving average and variance of its class's ratios."""
 
     def __init__(self) -> None:
         self._ratios: dict[str, tuple[float, float]] = {}
+        """By class: mean and variance of actual run time over guess."""
 
-    def say(self, run: Run) -> Said:
-        mean, variance = self._ratios.get(run.job_class, (1.0, OWNERS_ERROR**2))
-        return normal(mean * run.estimate, sqrt(variance) * run.estimate)
+    def predict(self, run: Run) -> Prediction:
+        """Return the corrected guess."""
+        mean, variance = self._ratios.get(run.job_class, (1.0, GUESS_SIGMA_RATIO**2))
+        return normal_prediction(mean * run.estimate, sqrt(variance) * run.estimate)
 
-    def see(self, run: Run) -> None:
+    def observe(self, run: Run) -> None:
+        """Update the class's ratio with a completed run that has a guess."""
         if run.outcome == "done" and run.estimate > 0:
-            mean, variance = self._ratios.get(run.job_class, (1.0, OWNERS_ERROR**2))
-            off = min(MOST_OFF, run.seconds / run.estimate) - mean
-            variance += MEAN_KEEP * (off * off - variance)
-            self._ratios[run.job_class] = (mean + MEAN_KEEP * off, variance)
+            mean, variance = self._ratios.get(run.job_class, (1.0, GUESS_SIGMA_RATIO**2))
+            error = min(MAX_RATIO, run.seconds / run.estimate) - mean
+            variance += MEAN_SMOOTHING * (error * error - variance)
+            self._ratios[run.job_class] = (mean + MEAN_SMOOTHING * error, variance)
 
 
 class Score(Struct):
-    """How often a predictor was right, of the judged runs; null where none was judged."""
+    """How often a predictor was right, as shares of the judged runs; null if no run was judged."""
 
     within_20: float | None = None
+    """Predictions within 20% of the actual time."""
     covered_50: float | None = None
+    """Actual times within the stated interval of 50%."""
     covered_80: float | None = None
     covered_95: float | None = None
 
 
 class ClassScore(Struct):
-    """One class. `within_20` and the coverages are of the learned estimates."""
+    """The scores of one class. `within_20` and the coverages are those of the learned estimates."""
 
     job_class: str = field(name="class")
     runs: int = 0
     """Completed runs in the history."""
     judged: int = 0
-    """Of those, the ones after the first `after`."""
+    """Completed runs after the first `after`."""
     within_20: float | None = None
     covered_50: float | None = None
     covered_80: float | None = None
     covered_95: float | None = None
     one_number_20: float | None = None
-    """What one number (or one ratio to the guess), chosen in hindsight, would have had within
-    20%: what the class's own spread allows to a prediction that sees no pattern in time."""
+    """The share within 20% of the best constant prediction (or constant ratio to the guess), chosen in hindsight: the
+    limit that the class's own spread sets to a prediction that finds no pattern in time."""
     first_ten_95: float | None = None
-    """Of its first ten runs, those within the stated 95%: what a new class gets."""
+    """The share of the first ten runs within the stated interval of 95%: the quality for a new class."""
     owner: Score = field(default_factory=Score)
     corrected_mean: Score = field(default_factory=Score)
 
 
-class Tally:
+class PredictionLog:
+    """The predictions of one predictor for one class, each with the actual run time."""
+
     def __init__(self) -> None:
-        self.said: list[tuple[Said, Seconds]] = []
+        self.points: list[tuple[Prediction, Seconds]] = []
 
     def score(self, after: int) -> Score:
-        judged = self.said[after:]
+        """Score the predictions after the first `after`."""
+        judged = self.points[after:]
         if not judged:
             return Score()
         share = 1.0 / len(judged)
-        near = sum(abs(said.middle - actual) <= NEAR * actual for said, actual in judged) * share
+        near = (
+            sum(abs(prediction.median_s - actual_s) <= MAX_RELATIVE_ERROR * actual_s for prediction, actual_s in judged)
+            * share
+        )
         covered = [
-            sum(said.intervals[i][0] <= actual <= said.intervals[i][1] for said, actual in judged) * share
-            for i in range(len(STATED))
+            sum(prediction.intervals[i][0] <= actual_s <= prediction.intervals[i][1] for prediction, actual_s in judged)
+            * share
+            for i in range(len(INTERVAL_COVERAGES))
         ]
         return Score(*(round(value, 4) for value in (near, *covered)))
 
 
-def one_number(values: Sequence[float]) -> float | None:
-    """The largest share of the values that lie within 20% of one number."""
+def best_constant_share(values: Sequence[float]) -> float | None:
+    """Return the largest share of the values that one number predicts within 20%; None without positive values."""
     logs = sorted(log(value) for value in values if value > 0)
     if not logs:
         return None
@@ -153,79 +177,86 @@
 
 
 class Replay:
-    """A history played through; `scores` are by class, in the order of their first runs."""
+    """A history that all predictors have processed, run by run. Classes are in the order of their first runs."""
 
-    def __init__(self, history: Iterable[Run], after: int = AFTER) -> None:
+    def __init__(self, history: Iterable[Run], after: int = DEFAULT_WARM_UP_RUNS) -> None:
         self.after = after
-        self.learned = ByLearning()
+        self.learned = LearnedPredictor()
         self._predictors: dict[str, Predictor] = {
             "learned": self.learned,
-            "owner": ByOwner(),
-            "corrected_mean": ByMean(),
+            "owner": GuessPredictor(),
+            "corrected_mean": MeanPredictor(),
         }
-        self._tallies: dict[str, dict[str, Tally]] = {}
+        self._logs: dict[str, dict[str, PredictionLog]] = {}
+        """By class, then by predictor."""
         self._runs: dict[str, list[Run]] = {}
+        """Completed runs by class."""
         for run in history:
-            self._play(run)
+            self._replay_run(run)
 
-    def _play(self, run: Run) -> None:
+    def _replay_run(self, run: Run) -> None:
         if run.outcome == "done":
-            tallies = self._tallies.setdefault(run.job_class, {name: Tally() for name in self._predictors})
+            logs = self._logs.setdefault(run.job_class, {name: PredictionLog() for name in self._predictors})
             self._runs.setdefault(run.job_class, []).append(run)
             for name, predictor in self._predictors.items():
-                tallies[name].said.append((predictor.say(run), run.seconds))
+                logs[name].points.append((predictor.predict(run), run.seconds))
         for predictor in self._predictors.values():
-            predictor.see(run)
+            predictor.observe(run)
 
-    def points(self, job_class: str) -> list[tuple[Said, Seconds]]:
-        """Every prediction of the learned estimates for the class, and what came."""
-        return self._tallies[job_class]["learned"].said
+    def points(self, job_class: str) -> list[tuple[Prediction, Seconds]]:
+        """Return every prediction of the learned estimates for the class, with the actual run time."""
+        return self._logs[job_class]["learned"].points
 
     def scores(self) -> list[ClassScore]:
+        """Return the scores of all classes that have completed runs."""
         scores = []
-        for name, tallies in self._tallies.items():
-            own = tallies["learned"].score(self.after)
+        for name, logs in self._logs.items():
+            learned_score = logs["learned"].score(self.after)
             runs = self._runs[name]
             judged = runs[self.after :]
-            times = one_number([run.seconds for run in judged])
-            ratios = one_number([run.seconds / run.estimate for run in judged if run.estimate > 0])
-            best = max((share for share in (times, ratios) if share is not None), default=None)
-            first = tallies["learned"].said[:10]
-            held = sum(said.intervals[2][0] <= actual <= said.intervals[2][1] for said, actual in first)
+            best_time = best_constant_share([run.seconds for run in judged])
+            best_ratio = best_constant_share([run.seconds / run.estimate for run in judged if run.estimate > 0])
+            best = max((share for share in (best_time, best_ratio) if share is not None), default=None)
+            first_ten = logs["learned"].points[:10]
+            covered = sum(
+                prediction.intervals[2][0] <= actual_s <= prediction.intervals[2][1]
+                for prediction, actual_s in first_ten
+            )
             scores.append(
                 ClassScore(
                     name,
                     len(runs),
                     len(judged),
-                    own.within_20,
-                    own.covered_50,
-                    own.covered_80,
-                    own.covered_95,
+                    learned_score.within_20,
+                    learned_score.covered_50,
+                    learned_score.covered_80,
+                    learned_score.covered_95,
                     round(best, 4) if best is not None else None,
-                    round(held / len(first), 4),
-                    tallies["owner"].score(self.after),
-                    tallies["corrected_mean"].score(self.after),
+                    round(covered / len(first_ten), 4),
+                    logs["owner"].score(self.after),
+                    logs["corrected_mean"].score(self.after),
                 )
             )
         return scores
 
 
-def table(scores: Sequence[ClassScore]) -> str:
-    """For reading: a line a class."""
+def format_table(scores: Sequence[ClassScore]) -> str:
+    """Return a text table with one line for each class."""
 
-    def share(value: float | None) -> str:
-        return "    -" if value is None else f"{100 * value:5.1f}"
+    def percent(share: float | None) -> str:
+        return "    -" if share is None else f"{100 * share:5.1f}"
 
     lines = [
         "all figures in % of the judged runs; held: actual times within the stated interval",
         f"{'class':24} {'runs':>6} {'judged':>6} | within 20%: learned  owner   mean  one number |"
         " held at 50%   80%   95% | first ten at 95%",
     ]
-    for one in scores:
+    for score in scores:
         lines.append(
-            f"{one.job_class[:24]:24} {one.runs:6} {one.judged:6} |               {share(one.within_20)}  "
-            f"{share(one.owner.within_20)}  {share(one.corrected_mean.within_20)}       {share(one.one_number_20)} |"
-            f"       {share(one.covered_50)} {share(one.covered_80)} {share(one.covered_95)} |"
-            f"            {share(one.first_ten_95)}"
+            f"{score.job_class[:24]:24} {score.runs:6} {score.judged:6} |               {percent(score.within_20)}  "
+            f"{percent(score.owner.within_20)}  {percent(score.corrected_mean.within_20)}"
+            f"       {percent(score.one_number_20)} |"
+            f"       {percent(score.covered_50)} {percent(score.covered_80)} {percent(score.covered_95)} |"
+            f"            {percent(score.first_ten_95)}"
         )
     return "\n".join(lines)
--- a/meadowcross/estimates/runs.py
+++ b/meadowcross/estimates/runs.py
@@ -1,4 +1,4 @@
-"""What the rest of the leader asks about run times, and today's plain answer to it."""
+"""The interface of run time estimators, and the estimator that corrects owners' guesses by a mean."""
 
 from __future__ import annotations
 
@@ -10,60 +10,67 @@
 from meadowcross.jobs.messages import JobKind, JobSpec
 
 TYPICAL = 0.5
-"""For the order and for what a machine is paid for: as often too long as too short."""
+"""The median, as often too long as too short: for the order of jobs and the expected cost of machines."""
 CAUTIOUS = 0.75
-"""For room that ends are to bring: three in four are there by then."""
-MEAN_KEEP = 0.05
-MOST_OFF = 4.0
+"""For capacity that is about to become free: three of four runs have ended by this quantile."""
+MEAN_SMOOTHING = 0.05
+"""The weight of the newest ratio in the moving average."""
+MAX_RATIO = 4.0
 
 
 class Runs(Protocol):
-    """Run times of one task, in seconds, without fetches, waits and saves."""
+    """Predicts the run time of one task, in seconds, without image fetches, waiting and saving of checkpoints."""
 
     def run(self, spec: JobSpec, q: float = TYPICAL) -> Seconds:
-        """The time that a share `q` of such runs stays below."""
+        """Return the time that a share `q` of such runs stays below."""
 
-    def left(self, spec: JobSpec, ran: Seconds, q: float = TYPICAL, machine_type: str = "") -> Seconds:
-        """The same of what is left of a run that has lasted `ran`; 0 or less: it is overdue, and
-        nothing is known of when it ends. Infinite for a service, which runs until it is cancelled: as its owner
-        estimates 0, all services once counted as room about to come free, and nothing was rented beside them."""
+    def left(self, spec: JobSpec, elapsed_s: Seconds, q: float = TYPICAL, machine_type: str = "") -> Seconds:
+        """Return the quantile `q` of the remaining time of a run that has lasted `elapsed_s`.
 
-    def done(self, spec: JobSpec, ran: Seconds, machine: MachineId, machine_type: str) -> None:
-        """A task completed after running for so long."""
+        0 or less means that the run is overdue and its end can't be predicted. The result is infinite for a service,
+        which runs until it is cancelled. Its owner's guess is 0, so all services once counted as capacity about to
+        become free, and no machines were created beside them."""
 
-    def cut(self, spec: JobSpec, ran: Seconds) -> None:
-        """A run was stopped, failed or lost: it would have lasted longer than `ran`."""
+    def done(self, spec: JobSpec, run_s: Seconds, machine_id: MachineId, machine_type: str) -> None:
+        """Learn from a task that completed after running for `run_s`."""
+
+    def cut(self, spec: JobSpec, elapsed_s: Seconds) -> None:
+        """Learn from a run that was stopped, failed or lost: it would have lasted longer than `elapsed_s`."""
 
     def watch(self, running: Iterable[tuple[JobSpec, list[Seconds]]]) -> None:
-        """How long the running tasks of each job have lasted by now."""
+        """Take into account how long the running tasks of each job have lasted so far."""
 
-    def forget(self, job: JobId) -> None:
-        """The job has ended."""
+    def forget(self, job_id: JobId) -> None:
+        """Drop the state of a job that has ended."""
 
 
 class MeanRuns:
-    """The owner's estimate, corrected by the mean of what its class has shown."""
+    """Multiplies the owner's guess by the moving average of its class's ratios."""
 
     def __init__(self) -> None:
         self.ratios: dict[str, float] = {}
+        """By class: actual run time over the owner's guess."""
 
     def run(self, spec: JobSpec, q: float = TYPICAL) -> Seconds:
+        """Return the corrected guess, which is the same for every `q`."""
         return spec.estimate_s * self.ratios.get(spec.job_class, 1.0)
 
-    def left(self, spec: JobSpec, ran: Seconds, q: float = TYPICAL, machine_type: str = "") -> Seconds:
-        return inf if spec.kind is JobKind.SERVICE else self.run(spec) - ran
+    def left(self, spec: JobSpec, elapsed_s: Seconds, q: float = TYPICAL, machine_type: str = "") -> Seconds:
+        """Return the corrected guess less `elapsed_s`, which is negative for an overdue run; infinite for a service."""
+        return inf if spec.kind is JobKind.SERVICE else self.run(spec) - elapsed_s
 
-    def done(self, spec: JobSpec, ran: Seconds, machine: MachineId, machine_type: str) -> None:
+    def done(self, spec: JobSpec, run_s: Seconds, machine_id: MachineId, machine_type: str) -> None:
+        """Update the class's ratio, if the owner gave a guess."""
         if spec.estimate_s > 0:
-            ratio = min(MOST_OFF, ran / spec.estimate_s)
-            old = self.ratios.get(spec.job_class, 1.0)
-            self.ratios[spec.job_class] = old + MEAN_KEEP * (ratio - old)
+            ratio = min(MAX_RATIO, run_s / spec.estimate_s)
+            old_ratio = self.ratios.get(spec.job_class, 1.0)
+            self.ratios[spec.job_class] = old_ratio + MEAN_SMOOTHING * (ratio - old_ratio)
 
-    def cut(self, spec: JobSpec, ran: Seconds) -> None:
-        """Teaches a mean nothing."""
+    def cut(self, spec: JobSpec, elapsed_s: Seconds) -> None:
+        """Do nothing: an interrupted run does not change the mean."""
 
     def watch(self, running: Iterable[tuple[JobSpec, list[Seconds]]]) -> None:
-        """Likewise."""
+        """Do nothing: running tasks do not change the mean."""
 
-    def forget(self, job: JobId) -> None:
-        """Nothing is kept of one job."""
+    def forget(self, job_id: JobId) -> None:
+        """Do nothing: no state is kept of single jobs."""
--- a/meadowcross/estimates/samples.py
+++ b/meadowcross/estimates/samples.py
@@ -1,4 +1,4 @@
-"""Which part of a task's life is a run, and what an end says of it."""
+"""Turns ends of tasks into samples of run times, and passes them to the estimators."""
 
 from __future__ import annotations
 
@@ -12,17 +12,20 @@
 
 
 def ran(job: Job, placement: Placement, now: Instant) -> Seconds:
-    """How long the task has run by now, earlier attempts that it goes on from included;
-    0 before it runs."""
+    """Return how long the task has run by now, including the checkpointed progress of earlier attempts.
+
+    Returns 0 for a task that does not run yet."""
     if placement.running_at is None:
         return 0.0
     until = now if placement.stop_requested_at is None else max(placement.stop_requested_at, placement.running_at)
     return max(0.0, until - placement.running_at) + job.checkpointed_progress.get(placement.task.number, 0.0)
 
 
-def whole(job: Job, placement: Placement) -> bool:
-    """Whether all of the task's run was seen: not what an earlier leader started, and not what
-    goes on from progress that only an earlier leader saw."""
+def is_run_fully_observed(job: Job, placement: Placement) -> bool:
+    """Whether this leader has observed the task's whole run.
+
+    That is not so for a placement of an earlier leader, or for an attempt that resumes from progress which only an
+    earlier leader observed."""
     if placement.is_inherited:
         return False
     return (
@@ -35,65 +38,70 @@
 class Where(NamedTuple):
     """The machine that a task ran on."""
 
-    machine: MachineId
-    type: str
-    sound: bool
-    """It is not suspected of faults."""
-    silent_until: Instant | None
-    """When it was last heard again after a silence."""
+    machine_id: MachineId
+    machine_type: str
+    is_healthy: bool
+    """False while the machine is suspected of faults."""
+    silence_ended_at: Instant | None
+    """When the machine last sent a heartbeat again after a silence; None if it was never silent."""
 
 
 class Samples:
-    """Hands ends to whatever learns from them."""
+    """Passes samples of run times to all estimators that learn."""
 
     def __init__(self, learners: Sequence[Runs]) -> None:
         self._learners = learners
 
     def done(self, job: Job, placement: Placement, where: Where, now: Instant) -> None:
-        """The task completed."""
+        """Record that the task completed."""
         if placement.running_at is None:
-            # Its result was kept from before: it did not run this time.
+            # The task's result was kept from an earlier attempt: it did not run this time.
             return
-        lasted = ran(job, placement, now)
-        if where.silent_until is not None and where.silent_until > placement.running_at:
-            # It hung, or could not be heard: nobody knows when the task ended. Once a cut of
-            # minutes made all that ran behind it look that much longer.
+        run_s = ran(job, placement, now)
+        if where.silence_ended_at is not None and where.silence_ended_at > placement.running_at:
+            # The machine hung or was cut off during the run, so the task's end is not known. A network partition of
+            # minutes once made all runs behind it look minutes longer.
             return
         for learner in self._learners:
-            if where.sound and whole(job, placement):
-                learner.done(job.spec, lasted, where.machine, where.type)
-            elif where.sound:
-                learner.cut(job.spec, lasted)
-
-    def gone(self, job: Job, placement: Placement, saved: bool, heard: Instant | None, now: Instant) -> None:
-        """The task is gone unfinished. `heard`: when its machine was last heard, where that
-        is all that is known of it."""
+            if where.is_healthy and is_run_fully_observed(job, placement):
+                learner.done(job.spec, run_s, where.machine_id, where.machine_type)
+            elif where.is_healthy:
+                learner.cut(job.spec, run_s)
+
+    def gone(
+        self, job: Job, placement: Placement, has_saved_progress: bool, last_contact_at: Instant | None, now: Instant
+    ) -> None:
+        """Record that the task ended without completing, and keep its checkpointed progress.
+
+        `last_contact_at` is the machine's last contact if nothing later is known of the task, else None."""
         if placement.running_at is None:
             return
-        end = now if heard is None else Instant(min(now, max(heard, placement.running_at)))
-        lasted = ran(job, placement, end)
+        ended_at = now if last_contact_at is None else Instant(min(now, max(last_contact_at, placement.running_at)))
+        run_s = ran(job, placement, ended_at)
         for learner in self._learners:
-            learner.cut(job.spec, lasted)
+            learner.cut(job.spec, run_s)
         spec = job.spec
-        if spec.checkpoint_interval_s > 0 and whole(job, placement):
-            kept = lasted if saved else lasted // spec.checkpoint_interval_s * spec.checkpoint_interval_s
-            job.checkpointed_progress[placement.task.number] = kept
-
-    def watch(self, book: JobTable, now: Instant) -> None:
-        """Tell how long everything has run by now, so that what is overdue shows before it ends."""
+        if spec.checkpoint_interval_s > 0 and is_run_fully_observed(job, placement):
+            progress_s = (
+                run_s if has_saved_progress else run_s // spec.checkpoint_interval_s * spec.checkpoint_interval_s
+            )
+            job.checkpointed_progress[placement.task.number] = progress_s
+
+    def watch(self, job_table: JobTable, now: Instant) -> None:
+        """Report how long all running tasks have lasted, so that overdue runs count before they end."""
         if self._learners:
-            running = list(_running(book, now))
+            running = list(_list_running(job_table, now))
             for learner in self._learners:
                 learner.watch(running)
 
 
-def _running(book: JobTable, now: Instant) -> Iterable[tuple[JobSpec, list[Seconds]]]:
-    for job in book.jobs.values():
+def _list_running(job_table: JobTable, now: Instant) -> Iterable[tuple[JobSpec, list[Seconds]]]:
+    for job in job_table.jobs.values():
         if job.cancelled_at is None and not job.is_ending:
-            lasted = [
+            elapsed_s = [
                 ran(job, p, now)
                 for p in job.placements.values()
                 if p.phase is PlacementPhase.RUNNING and p.stop_requested_at is None
             ]
-            if lasted:
-                yield job.spec, lasted
+            if elapsed_s:
+                yield job.spec, elapsed_s
--- a/meadowcross/estimates/sketch.py
+++ b/meadowcross/estimates/sketch.py
@@ -1,8 +1,8 @@
-"""Quantiles of what was seen lately: DDSketch's bins, whose weights fade.
+"""A quantile sketch whose older samples weigh less: the bins of DDSketch with exponential decay.
 
-The mapping to bins and the bounded store are the library's (Masson et al., VLDB 2019). Fading
-is by forward decay (Cormode et al., ICDE 2009): instead of all bins shrinking at each end, the
-newest end weighs more than the one before, and all are scaled back from time to time.
+The mapping to bins and the bounded store of bins are the library's (Masson et al., VLDB 2019). The decay is forward
+decay (Cormode et al., ICDE 2009): instead of shrinking all bins at each sample, each sample weighs more than the one
+before it, and all weights are scaled back from time to time.
 """
 
 from __future__ import annotations
@@ -13,121 +13,125 @@
 from ddsketch.mapping import LogarithmicMapping
 from ddsketch.store import CollapsingLowestDenseStore
 
-from meadowcross.estimates.curve import GRID, Logs
+from meadowcross.estimates.curve import QUANTILES, LogQuantiles
 
-ACCURACY = 0.02
+RELATIVE_ACCURACY = 0.02
 MAX_BINS = 256
-"""From the largest value down to a twenty-thousandth of it; what is smaller shares the last bin."""
-LEAST, MOST = 1e-3, 1e9
-SCALE_AT = 1e9
-STALE = 0.03
-"""Quantiles are worked out anew once so much of the weight is new."""
-FADED = 1e-3
-"""Bins that weigh less than this share of one end are left out when stored."""
-
-_MAPPING = LogarithmicMapping(ACCURACY)
-_STEP = log(_MAPPING.gamma)
-LOWEST_KEY, HIGHEST_KEY = _MAPPING.key(LEAST), _MAPPING.key(MOST)
+"""The bins reach from the largest value down to a twenty-thousandth of it; smaller values share the lowest bin."""
+MIN_VALUE, MAX_VALUE = 1e-3, 1e9
+MAX_SAMPLE_WEIGHT = 1e9
+"""All weights are scaled back once a new sample weighs more than this."""
+MAX_STALE_SHARE = 0.03
+"""Cached quantiles are computed again once more than this share of the weight is new."""
+MIN_STORED_WEIGHT = 1e-3
+"""Bins that weigh less than this share of one sample are not stored."""
+
+_MAPPING = LogarithmicMapping(RELATIVE_ACCURACY)
+_LOG_BIN_WIDTH = log(_MAPPING.gamma)
+LOWEST_KEY, HIGHEST_KEY = _MAPPING.key(MIN_VALUE), _MAPPING.key(MAX_VALUE)
 
 Bins = list[tuple[int, float]]
 
 
-class Decayed:
-    """Values of ends, each of which weighs half after `half_life` more of them."""
+class DecayingSketch:
+    """A sketch of positive values in which a sample's weight halves with every `half_life` further samples."""
 
-    __slots__ = ("_growth", "_half_life", "_logs", "_store", "_unit", "_unseen")
+    __slots__ = ("_growth", "_half_life", "_log_quantiles", "_new_weight", "_sample_weight", "_store")
 
     def __init__(self, half_life: float) -> None:
         self._half_life = half_life
         self._growth = 2.0 ** (1.0 / half_life)
         self._store = CollapsingLowestDenseStore(MAX_BINS)
-        self._unit = 1.0
-        """What one end of now weighs in the store."""
-        self._logs: Logs | None = None
-        self._unseen = 0.0
-        """Weight that came since the quantiles were worked out."""
+        self._sample_weight = 1.0
+        """The weight in the store of one sample that is added now."""
+        self._log_quantiles: LogQuantiles | None = None
+        self._new_weight = 0.0
+        """The weight that was added since the quantiles were computed."""
 
     @property
     def weight(self) -> float:
-        """How many ends of now all that is remembered is worth."""
-        return float(self._store.count) / self._unit
+        """The total weight, in samples that are added now."""
+        return float(self._store.count) / self._sample_weight
 
     def add(self, value: float, weight: float = 1.0) -> None:
-        """An end that counts for less also makes the others fade less."""
-        self._unit *= self._growth**weight
-        self._store.add(_MAPPING.key(min(MOST, max(LEAST, value))), weight * self._unit)
-        self._unseen += weight
-        if self._unseen > STALE * self.weight:
-            # A scan of all bins at each end was the largest part of what learning cost.
-            self._logs = None
-        if self._unit > SCALE_AT:
-            self._restore(self.bins())
-
-    def _put(self, key: int, weight: float) -> None:
+        """Add a sample. One with a weight below 1 also lets the earlier samples decay less."""
+        self._sample_weight *= self._growth**weight
+        self._store.add(_MAPPING.key(min(MAX_VALUE, max(MIN_VALUE, value))), weight * self._sample_weight)
+        self._new_weight += weight
+        if self._new_weight > MAX_STALE_SHARE * self.weight:
+            # Scanning all bins at each sample was the largest part of the cost of learning.
+            self._log_quantiles = None
+        if self._sample_weight > MAX_SAMPLE_WEIGHT:
+            self._replace_bins(self.bins())
+
+    def _add_to_bin(self, key: int, weight: float) -> None:
         self._store.add(key, weight)
-        self._logs = None
+        self._log_quantiles = None
 
-    def _restore(self, bins: Iterable[tuple[int, float]]) -> None:
+    def _replace_bins(self, bins: Iterable[tuple[int, float]]) -> None:
         self._store = CollapsingLowestDenseStore(MAX_BINS)
-        self._unit = 1.0
+        self._sample_weight = 1.0
         for key, weight in bins:
-            self._put(key, weight)
+            self._add_to_bin(key, weight)
 
     def bins(self) -> Bins:
-        """Keys and weights in ends of now, ascending."""
+        """Return the keys, ascending, and their weights in samples that are added now."""
         return [
-            (index + self._store.offset, weight / self._unit)
+            (index + self._store.offset, weight / self._sample_weight)
             for index, weight in enumerate(self._store.bins)
-            if weight > FADED * self._unit
+            if weight > MIN_STORED_WEIGHT * self._sample_weight
         ]
 
-    def rounded(self) -> Bins:
-        """The bins as they are stored."""
-        return [(key, max(FADED, round(weight, 3))) for key, weight in self.bins()]
+    def rounded_bins(self) -> Bins:
+        """Return the bins with rounded weights, for storing."""
+        return [(key, max(MIN_STORED_WEIGHT, round(weight, 3))) for key, weight in self.bins()]
 
     @classmethod
-    def of(cls, half_life: float, bins: Bins) -> Decayed:
-        made = cls(half_life)
-        made._restore(bins)
-        return made
-
-    def merge(self, other: Decayed) -> None:
-        """Take in what another sketch has seen, as if it had been before all of ours: it fades
-        by about as much as our own ends have aged it."""
-        faded = 2.0 ** (-self.weight / self._half_life)
+    def from_bins(cls, half_life: float, bins: Bins) -> DecayingSketch:
+        """Create a sketch from stored bins."""
+        sketch = cls(half_life)
+        sketch._replace_bins(bins)
+        return sketch
+
+    def merge(self, other: DecayingSketch) -> None:
+        """Add the other sketch's samples as if all of them were older than this sketch's.
+
+        They decay by about as much as this sketch's own samples have aged them."""
+        decay = 2.0 ** (-self.weight / self._half_life)
         for key, weight in other.bins():
-            self._put(key, weight * faded * self._unit)
-
-    def logs(self) -> Logs:
-        """The quantiles at the grid; only asked of a sketch that holds something."""
-        if self._logs is None:
-            self._logs = self._work_out()
-            self._unseen = 0.0
-        return self._logs
-
-    def _work_out(self) -> Logs:
-        wanted = iter(GRID)
-        found: list[float] = []
+            self._add_to_bin(key, weight * decay * self._sample_weight)
+
+    def log_quantiles(self) -> LogQuantiles:
+        """Return the log quantiles, up to `MAX_STALE_SHARE` out of date. The sketch must not be empty."""
+        if self._log_quantiles is None:
+            self._log_quantiles = self._compute_log_quantiles()
+            self._new_weight = 0.0
+        return self._log_quantiles
+
+    def _compute_log_quantiles(self) -> LogQuantiles:
+        quantiles = iter(QUANTILES)
+        log_quantiles: list[float] = []
         total = float(self._store.count)
-        target = next(wanted) * total
-        seen = 0.0
-        edge = 0.0
+        target = next(quantiles) * total
+        weight_below = 0.0
+        upper_edge = 0.0
         for index, weight in enumerate(self._store.bins):
             if weight <= 0.0:
                 continue
-            edge = log(_MAPPING.value(index + self._store.offset)) + _STEP / 2
-            while seen + weight >= target:
-                found.append(edge - _STEP * (1 - (target - seen) / weight))
-                following = next(wanted, None)
-                if following is None:
-                    return tuple(found)
-                target = following * total
-            seen += weight
-        # Sums of fading weights may miss the total by a rounding.
-        return tuple(found + [edge] * (len(GRID) - len(found)))
-
-    def centre(self) -> float:
-        """The mean of the logarithms: unlike the middle it does not jump between two humps."""
+            upper_edge = log(_MAPPING.value(index + self._store.offset)) + _LOG_BIN_WIDTH / 2
+            while weight_below + weight >= target:
+                log_quantiles.append(upper_edge - _LOG_BIN_WIDTH * (1 - (target - weight_below) / weight))
+                next_quantile = next(quantiles, None)
+                if next_quantile is None:
+                    return tuple(log_quantiles)
+                target = next_quantile * total
+            weight_below += weight
+        # Rounding errors may keep the sum of the weights below the total.
+        return tuple(log_quantiles + [upper_edge] * (len(QUANTILES) - len(log_quantiles)))
+
+    def log_mean(self) -> float:
+        """Return the mean of the logarithms. Unlike the median it does not jump between the modes of a bimodal
+        distribution."""
         total = sum(
             weight * log(_MAPPING.value(index + self._store.offset))
             for index, weight in enumerate(self._store.bins)
@@ -136,16 +140,17 @@
         return float(total / self._store.count)
 
     def share_below(self, value: float) -> float:
-        """The share of what is remembered that is smaller; its own bin counts by half."""
-        key = _MAPPING.key(min(MOST, max(LEAST, value)))
-        at = key - self._store.offset
+        """Return the share of the weight below a value, with half the weight of the value's own bin."""
+        key = _MAPPING.key(min(MAX_VALUE, max(MIN_VALUE, value)))
+        index = key - self._store.offset
         bins = self._store.bins
-        if at < 0:
+        if index < 0:
             return 0.0
-        if at >= len(bins):
+        if index >= len(bins):
             return 1.0
-        return float(sum(bins[:at]) + bins[at] / 2) / float(self._store.count)
+        return float(sum(bins[:index]) + bins[index] / 2) / float(self._store.count)
 
     @property
-    def middle(self) -> float:
-        return exp(self.logs()[len(GRID) // 2])
+    def median(self) -> float:
+        """The median, as a value. The sketch must not be empty."""
+        return exp(self.log_quantiles()[len(QUANTILES) // 2])
--- a/tests/estimates/test_learned_run_times.py
+++ b/tests/estimates/test_learned_run_times.py
@@ -1,4 +1,4 @@
-"""Learned run times without a cluster: what is predicted, what teaches, what is stored."""
+"""Learned run times without a cluster: predictions, samples, records and the command `meadowcross estimates`."""
 
 from __future__ import annotations
 
@@ -14,55 +14,55 @@
 
 from meadowcross.cli import main
 from meadowcross.common.types import MachineId
-from meadowcross.estimates import learned as ln
+from meadowcross.estimates import learned as learned_module
 from meadowcross.estimates import messages as m
-from meadowcross.estimates.curve import Curve, spread
+from meadowcross.estimates.adaptive_distribution import AdaptiveDistribution
+from meadowcross.estimates.curve import Curve, lognormal
+from meadowcross.estimates.entry_summary import format_table, summarize_record
 from meadowcross.estimates.finish import Left, middle_of
-from meadowcross.estimates.history import Run, made
-from meadowcross.estimates.learned import Kind, Learned, kind_of
+from meadowcross.estimates.history import Run, generate_history
+from meadowcross.estimates.learned import Learned, RunFeatures, features_of
 from meadowcross.estimates.replay import Replay
-from meadowcross.estimates.shown import shown, table
-from meadowcross.estimates.sketch import Decayed
-from meadowcross.estimates.track import Track
+from meadowcross.estimates.sketch import DecayingSketch
 from meadowcross.jobs.messages import JobSpec
 from tests.support.world import job
 
 SPEC = msgspec.convert(job(), JobSpec)
 
 
-def kind(name="train", guess=30.0, team="b", machine_type="", job_name=""):
-    return Kind(name, team, "1,-99,2", machine_type, guess, job_name)
+def features(job_class="train", guess_s=30.0, team="b", machine_type="", job_id=""):
+    return RunFeatures(job_class, team, "1,-99,2", machine_type, guess_s, job_id)
 
 
-def taught(runs, clock=None, **of):
+def learn_from(runs, clock=None, **values):
     clock = clock or Clock()
     learned = Learned(clock)
     for seconds in runs:
-        learned.learn(kind(**of), seconds)
+        learned.learn_completed(features(**values), seconds)
         clock.advance(2.0)
     return learned
 
 
-def noisy(seed, middle, count, sigma=0.08):
-    chance = Random(seed)
-    return [middle * exp(chance.gauss(0, sigma)) for _ in range(count)]
+def noisy(seed, median, count, sigma=0.08):
+    random = Random(seed)
+    return [median * exp(random.gauss(0, sigma)) for _ in range(count)]
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.floats(-6, 12), st.floats(0.01, 3), st.floats(0.01, 0.99), st.floats(1e-3, 1e6))
-def test_a_curve_is_monotone_and_its_share_undoes_its_quantile(middle, sigma, q, ran):
-    curve = Curve(spread(middle, sigma))
-    if curve.at(q) > 0.02:
-        assert curve.share(curve.at(q)) == pytest.approx(q, abs=0.02)
-    assert curve.at(q) <= curve.at(min(0.999, q + 0.01))
-    left = curve.left(ran, q)
-    assert left > 0 and isfinite(left)
-    # What has lasted longer ends later, however little is left of it.
-    assert ran + left <= (1.1 * ran + curve.left(1.1 * ran, q)) * 1.0001
-
-
-REPLAYED = {
-    # class: at least so many within 20%; bounds of what the stated 80% held
+def test_a_curve_is_monotone_and_share_below_inverts_quantile(log_median, sigma, q, elapsed_s):
+    curve = Curve(lognormal(log_median, sigma))
+    if curve.quantile(q) > 0.02:
+        assert curve.share_below(curve.quantile(q)) == pytest.approx(q, abs=0.02)
+    assert curve.quantile(q) <= curve.quantile(min(0.999, q + 0.01))
+    remaining_s = curve.remaining(elapsed_s, q)
+    assert remaining_s > 0 and isfinite(remaining_s)
+    # A run that has lasted longer ends later, however short its remaining time is.
+    assert elapsed_s + remaining_s <= (1.1 * elapsed_s + curve.remaining(1.1 * elapsed_s, q)) * 1.0001
+
+
+REPLAY_BOUNDS = {
+    # class: least share within 20%; lowest and highest coverage of the stated interval of 80%
     "steady": (0.90, 0.72, 0.88),
     "told-by-owner": (0.90, 0.72, 0.88),
     "doubling": (0.90, 0.72, 0.88),
@@ -76,85 +76,85 @@
 }
 
 
-def test_a_replay_of_every_case_predicts_and_states_what_holds():
-    replay = Replay(made(5))
+def test_replayed_cases_meet_their_accuracy_and_coverage_bounds():
+    replay = Replay(generate_history(5))
     scores = {score.job_class: score for score in replay.scores()}
-    for name, (near, low, high) in REPLAYED.items():
+    for name, (min_within_20, low, high) in REPLAY_BOUNDS.items():
         score = scores[name]
-        assert score.judged >= 200 and score.within_20 >= near, name
+        assert score.judged >= 200 and score.within_20 >= min_within_20, name
         assert low <= score.covered_80 <= high and score.covered_95 >= 0.86, name
         assert score.within_20 >= max(score.owner.within_20, score.corrected_mean.within_20) - 0.02, name
-    # A class without history: judged by its first runs; the owners' error is known from others.
+    # A class without history is judged by its first runs; the owners' errors are known from other classes.
     assert scores["unknown"].judged == 0 and scores["unknown"].within_20 is None
     assert scores["unknown"].first_ten_95 >= 0.8
 
 
 @pytest.mark.parametrize("factor", [2.0, 0.5, 3.0])
-def test_a_sudden_change_is_noticed_within_ten_ends_and_is_over_within_ten(factor):
-    track = Track()
+def test_a_sudden_change_is_detected_and_reverted_within_ten_samples(factor):
+    distribution = AdaptiveDistribution()
     for value in noisy(1, 40, 200):
-        track.add(value)
+        distribution.add(value)
     for value in noisy(2, 40 * factor, 10):
-        track.add(value)
-    assert exp(track.logs()[3]) == pytest.approx(40 * factor, rel=0.2) and track.changes == 1
+        distribution.add(value)
+    assert exp(distribution.log_quantiles()[3]) == pytest.approx(40 * factor, rel=0.2) and distribution.changes == 1
     for value in noisy(3, 40, 10):
-        track.add(value)
-    assert exp(track.logs()[3]) == pytest.approx(40, rel=0.2)
-    # The old picture came back whole: its tails were not made of ten ends.
-    assert not track.changed and track.slow.weight > 50
+        distribution.add(value)
+    assert exp(distribution.log_quantiles()[3]) == pytest.approx(40, rel=0.2)
+    # The slow sketch is used again with its full history, not with the last ten samples only.
+    assert not distribution.is_changed and distribution.slow.weight > 50
 
 
-def test_a_change_that_stays_becomes_the_picture():
-    track = Track()
+def test_a_lasting_change_replaces_the_slow_sketch():
+    distribution = AdaptiveDistribution()
     for value in [*noisy(1, 40, 200), *noisy(2, 90, 60)]:
-        track.add(value)
-    assert not track.changed and exp(track.logs()[3]) == pytest.approx(90, rel=0.1)
+        distribution.add(value)
+    assert not distribution.is_changed and exp(distribution.log_quantiles()[3]) == pytest.approx(90, rel=0.1)
 
 
-@pytest.mark.parametrize("guess", [0.0, 1e-6, 30.0, 1e9])
+@pytest.mark.parametrize("guess_s", [0.0, 1e-6, 30.0, 1e9])
 @pytest.mark.parametrize("name", ["x", "é" * 200, "\x00\n ~/%", "../../a"])
-def test_a_kind_never_seen_gets_a_sane_wide_interval(name, guess):
-    curve = Learned(Clock()).curve(kind(name, guess))
-    low, high = curve.at(0.1), curve.at(0.9)
-    assert 0 < low < high < float("inf") and (high / low > 3 or guess < 1e-3)
-    key = m.key_of(m.class_name(name))
+def test_features_without_history_get_a_plausible_wide_interval(name, guess_s):
+    curve = Learned(Clock()).curve(features(name, guess_s))
+    low, high = curve.quantile(0.1), curve.quantile(0.9)
+    assert 0 < low < high < float("inf") and (high / low > 3 or guess_s < 1e-3)
+    key = m.store_key(m.class_entry_name(name))
     assert key.isascii() and len(key) <= 120 and " " not in key and "%" not in key
 
 
-def test_names_that_look_alike_once_escaped_have_keys_of_their_own():
+def test_names_that_escape_alike_have_distinct_store_keys():
     names = ["a b", "a_b", "a\nb", "a" * 61, "a" * 62, "A b", "a/b"]
-    assert len({m.key_of(m.class_name(name)) for name in names}) == len(names)
+    assert len({m.store_key(m.class_entry_name(name)) for name in names}) == len(names)
 
 
-def test_with_little_history_a_class_leans_on_its_team_and_on_how_owners_err():
-    learned = taught(noisy(1, 60, 100), name="known", guess=30.0)
-    # All owners of the team guess half of the time: a class without any end is told so too.
-    assert learned.curve(kind("new", 100.0)).at(0.5) == pytest.approx(200, rel=0.15)
-    assert learned.curve(kind("new", 100.0, team="other")).at(0.5) == pytest.approx(200, rel=0.3)
+def test_a_class_without_history_is_predicted_from_its_team_and_all_work():
+    learned = learn_from(noisy(1, 60, 100), job_class="known", guess_s=30.0)
+    # All guesses of the team are half of the actual time, so those of a class without samples are doubled too.
+    assert learned.curve(features("new", 100.0)).quantile(0.5) == pytest.approx(200, rel=0.15)
+    assert learned.curve(features("new", 100.0, team="other")).quantile(0.5) == pytest.approx(200, rel=0.3)
 
 
-CUTS = [
-    # name, cut runs after 100 ends of about 40 s, expected middle over the one before
+INTERRUPTED_RUNS = [
+    # name, interrupted runs after 100 samples of about 40 s, bounds of the median over the median before
     ("stopped early, a hundred times", [5.0] * 100, (0.99, 1.01)),
     ("failed at once", [0.2] * 100, (0.99, 1.01)),
-    ("one was stopped late", [50.0], (0.99, 1.05)),
-    ("all of them outlast what was known", [90.0] * 12, (1.5, 4.0)),
-    ("absurd", [float("inf"), float("nan"), -3.0, 0.0], (0.99, 1.01)),
+    ("one stopped late", [50.0], (0.99, 1.05)),
+    ("all outlast earlier runs", [90.0] * 12, (1.5, 4.0)),
+    ("invalid", [float("inf"), float("nan"), -3.0, 0.0], (0.99, 1.01)),
 ]
 
 
-@pytest.mark.parametrize(("cuts", "bounds"), [c[1:] for c in CUTS], ids=[c[0] for c in CUTS])
-def test_what_was_cut_short_is_no_short_run(cuts, bounds):
-    learned = taught(noisy(1, 40, 100))
-    before = learned.curve(kind()).at(0.5)
-    for ran in cuts:
-        learned.learn_cut(kind(), ran)
+@pytest.mark.parametrize(("runs_s", "bounds"), [c[1:] for c in INTERRUPTED_RUNS], ids=[c[0] for c in INTERRUPTED_RUNS])
+def test_an_interrupted_run_does_not_count_as_a_short_run(runs_s, bounds):
+    learned = learn_from(noisy(1, 40, 100))
+    before = learned.curve(features()).quantile(0.5)
+    for elapsed_s in runs_s:
+        learned.learn_interrupted(features(), elapsed_s)
         learned._clock.advance(2.0)
-    assert bounds[0] <= learned.curve(kind()).at(0.5) / before <= bounds[1]
+    assert bounds[0] <= learned.curve(features()).quantile(0.5) / before <= bounds[1]
 
 
-def test_runs_that_are_overdue_count_before_they_end_and_only_while_they_run():
-    learned = taught(noisy(1, 40, 100), name="train")
+def test_overdue_runs_raise_predictions_only_while_they_run():
+    learned = learn_from(noisy(1, 40, 100), job_class="train")
     jobs = [msgspec.structs.replace(SPEC, id=f"wk-{i:06d}") for i in range(8)]
     before = learned.run(SPEC)
     learned.watch([(spec, [20.0, 30.0]) for spec in jobs])
@@ -168,34 +168,39 @@
     assert learned.run(SPEC) == before
 
 
-def test_a_slow_machine_does_not_spoil_its_classes_but_a_change_on_all_is_learned():
+def test_a_slow_machine_is_ignored_but_a_change_on_all_machines_is_learned():
     clock = Clock()
     learned = Learned(clock)
-    chance = Random(7)
+    random = Random(7)
     for i in range(400):
-        machine = chance.randrange(10)
-        learned.learn(kind(), 40 * exp(chance.gauss(0, 0.08)) * (4 if machine == 0 else 1), f"i-{machine}")
+        machine = random.randrange(10)
+        learned.learn_completed(
+            features(), 40 * exp(random.gauss(0, 0.08)) * (4 if machine == 0 else 1), f"i-{machine}"
+        )
         clock.advance(2.0)
         if i == 100:
-            learned_by_then = learned._entry("c/train").ends
-    assert learned.curve(kind()).at(0.9) < 60 and learned._entry("c/train").ends - learned_by_then < 280
+            samples_before = learned._find_entry("c/train").sample_count
+    assert (
+        learned.curve(features()).quantile(0.9) < 60
+        and learned._find_entry("c/train").sample_count - samples_before < 280
+    )
     for _ in range(30):
-        learned.learn(kind(), 80 * exp(chance.gauss(0, 0.08)), f"i-{chance.randrange(1, 10)}")
+        learned.learn_completed(features(), 80 * exp(random.gauss(0, 0.08)), f"i-{random.randrange(1, 10)}")
         clock.advance(2.0)
-    assert learned.curve(kind()).at(0.5) == pytest.approx(80, rel=0.2)
+    assert learned.curve(features()).quantile(0.5) == pytest.approx(80, rel=0.2)
 
 
-def test_a_jobs_own_tasks_tell_of_the_rest_and_hundreds_of_them_are_no_change():
-    learned = taught(noisy(1, 40, 100, 0.5))
+def test_a_jobs_tasks_predict_its_other_tasks_without_changing_the_class():
+    learned = learn_from(noisy(1, 40, 100, 0.5))
     for seconds in noisy(2, 120, 200, 0.03):
-        learned.learn(kind(job_name="wk-000009"), seconds)
+        learned.learn_completed(features(job_id="wk-000009"), seconds)
         learned._clock.advance(2.0)
-    assert learned.curve(kind(job_name="wk-000009")).at(0.5) == pytest.approx(120, rel=0.1)
-    assert learned.curve(kind(job_name="wk-000010")).at(0.5) < 70
+    assert learned.curve(features(job_id="wk-000009")).quantile(0.5) == pytest.approx(120, rel=0.1)
+    assert learned.curve(features(job_id="wk-000010")).quantile(0.5) < 70
 
 
-def test_the_rest_of_an_array_takes_longer_than_what_ended_first():
-    learned = taught(noisy(1, 40, 100, 0.5))
+def test_overdue_tasks_of_an_array_raise_its_prediction():
+    learned = learn_from(noisy(1, 40, 100, 0.5))
     spec = msgspec.structs.replace(SPEC, id="wk-000009")
     for seconds in (30.0, 31.0, 32.0, 33.0):
         learned.done(spec, seconds, MachineId("i-1"), "")
@@ -209,101 +214,106 @@
     assert learned.run(spec) == learned.run(SPEC)
 
 
-def test_two_sketches_merged_say_what_one_would():
+def test_merged_sketches_match_one_sketch_of_all_samples():
     values = noisy(4, 40, 60)
-    whole, first, second = Decayed(64.0), Decayed(64.0), Decayed(64.0)
+    combined, first, second = DecayingSketch(64.0), DecayingSketch(64.0), DecayingSketch(64.0)
     for i, value in enumerate(values):
-        whole.add(value)
+        combined.add(value)
         (first if i < 40 else second).add(value)
     second.merge(first)
-    assert second.weight == pytest.approx(whole.weight, rel=0.02)
-    assert second.logs() == pytest.approx(whole.logs(), abs=0.05)
-    assert Decayed.of(64.0, whole.rounded()).logs() == pytest.approx(whole.logs(), abs=0.01)
+    assert second.weight == pytest.approx(combined.weight, rel=0.02)
+    assert second.log_quantiles() == pytest.approx(combined.log_quantiles(), abs=0.05)
+    assert DecayingSketch.from_bins(64.0, combined.rounded_bins()).log_quantiles() == pytest.approx(
+        combined.log_quantiles(), abs=0.01
+    )
 
 
-def test_what_is_learned_survives_storing_bounded_in_size_and_number(monkeypatch):
+def test_records_are_bounded_in_size_and_number_and_keep_predictions(monkeypatch):
     clock = Clock()
     learned = Learned(clock)
-    chance = Random(3)
+    random = Random(3)
     for i in range(600):
-        one = kind("wild", exp(chance.uniform(1, 5)), f"team {i % 40}", f"type {i % 7}")
-        learned.learn(one, exp(chance.uniform(0, 6)), f"i-{i}")
+        run_features = features("wild", exp(random.uniform(1, 5)), f"team {i % 40}", f"type {i % 7}")
+        learned.learn_completed(run_features, exp(random.uniform(0, 6)), f"i-{i}")
         clock.advance(2.0)
-    record = learned.record("c/wild", 16 * 1024)
+    record = learned.encode_entry("c/wild", 16 * 1024)
     assert record is not None and len(record) <= 16 * 1024
-    small = learned.record("c/wild", len(record) - 1)
-    assert small is not None and len(small) < len(record), "parts go first"
-    assert learned.record("c/wild", 200) is None
+    smaller = learned.encode_entry("c/wild", len(record) - 1)
+    assert smaller is not None and len(smaller) < len(record), "no subgroup was left out"
+    assert learned.encode_entry("c/wild", 200) is None
     other = Learned(clock)
     for entry in learned.entries():
-        other.offer(m.key_of(entry.name), msgspec.Raw(learned.record(entry.name, 64 * 1024)))
-    assert other.curve(kind("wild")).at(0.5) == pytest.approx(learned.curve(kind("wild")).at(0.5), rel=0.05)
-    monkeypatch.setattr(ln, "MAX_CLASSES", 20)
+        other.add_stored(m.store_key(entry.name), msgspec.Raw(learned.encode_entry(entry.name, 64 * 1024)))
+    assert other.curve(features("wild")).quantile(0.5) == pytest.approx(
+        learned.curve(features("wild")).quantile(0.5), rel=0.05
+    )
+    monkeypatch.setattr(learned_module, "MAX_ENTRIES", 20)
     for i in range(50):
-        learned.learn(kind(f"class {i}"), 10.0)
-    assert len(learned.entries()) == 20 and m.key_of("c/class 0") in learned.dropped
+        learned.learn_completed(features(f"class {i}"), 10.0)
+    assert len(learned.entries()) == 20 and m.store_key("c/class 0") in learned.evicted_keys
     assert {e.name for e in learned.entries()} >= {"a", "t/b", "c/class 49"}
 
 
-GOOD = json.loads(taught(noisy(1, 40, 30)).record("c/train", 16_000))
-TRACK = GOOD["ratio"]
+VALID_RECORD = json.loads(learn_from(noisy(1, 40, 30)).encode_entry("c/train", 16_000))
+RATIO_RECORD = VALID_RECORD["ratio"]
 UNREADABLE = [
     ("not JSON", b"{"),
     ("not an object", b"[]"),
-    ("of no version", b"{}"),
-    ("another entry's", json.dumps({**GOOD, "name": "c/other"}).encode()),
-    ("a weight below zero", json.dumps({**GOOD, "ratio": [[[1, -5.0]], *TRACK[1:]]}).encode()),
-    ("a bin far off", json.dumps({**GOOD, "ratio": [[[10**9, 1.0]], *TRACK[1:]]}).encode()),
-    ("too many bins", json.dumps({**GOOD, "time": [[[1, 1.0]] * 300, *TRACK[1:]]}).encode()),
-    ("a field missing", json.dumps({k: v for k, v in GOOD.items() if k != "time"}).encode()),
-    ("of version 0", json.dumps({**GOOD, "v": 0}).encode()),
-    ("bytes that are no text", b'{"v":1,"name":"\xff"}'),
+    ("without a version", b"{}"),
+    ("of another entry", json.dumps({**VALID_RECORD, "name": "c/other"}).encode()),
+    ("negative weight", json.dumps({**VALID_RECORD, "ratio": [[[1, -5.0]], *RATIO_RECORD[1:]]}).encode()),
+    ("bin out of range", json.dumps({**VALID_RECORD, "ratio": [[[10**9, 1.0]], *RATIO_RECORD[1:]]}).encode()),
+    ("too many bins", json.dumps({**VALID_RECORD, "time": [[[1, 1.0]] * 300, *RATIO_RECORD[1:]]}).encode()),
+    ("missing field", json.dumps({k: v for k, v in VALID_RECORD.items() if k != "time"}).encode()),
+    ("version 0", json.dumps({**VALID_RECORD, "v": 0}).encode()),
+    ("invalid UTF-8", b'{"v":1,"name":"\xff"}'),
 ]
 
 
 @pytest.mark.parametrize("value", [u[1] for u in UNREADABLE], ids=[u[0] for u in UNREADABLE])
-def test_a_record_that_cannot_be_read_is_set_aside_alone(value, caplog):
+def test_an_unreadable_record_is_ignored_and_others_are_used(value, caplog):
     caplog.set_level("INFO")
     learned = Learned(Clock())
-    learned.offer("est/c/train", msgspec.Raw(value))
-    learned.offer("est/t/b", msgspec.Raw(taught(noisy(1, 60, 30)).record("t/b", 16_000)))
-    # Of the class the guess alone, corrected by its team.
-    assert learned.curve(kind("train", 30.0)).at(0.5) == pytest.approx(60, rel=0.15)
-    assert len([r for r in caplog.records if "set aside" in r.message]) == 1
-    learned.learn(kind(), 30.0)
-    assert learned.record("c/train", 16_000) is not None, "it is written anew"
-    assert shown("est/c/train", msgspec.Raw(value)).unreadable or b"other" in value or b'"v": 0' in value
+    learned.add_stored("est/c/train", msgspec.Raw(value))
+    learned.add_stored("est/t/b", msgspec.Raw(learn_from(noisy(1, 60, 30)).encode_entry("t/b", 16_000)))
+    # The class is predicted from the guess alone, corrected by its team.
+    assert learned.curve(features("train", 30.0)).quantile(0.5) == pytest.approx(60, rel=0.15)
+    assert len([r for r in caplog.records if "ignoring unreadable estimates record" in r.message]) == 1
+    learned.learn_completed(features(), 30.0)
+    assert learned.encode_entry("c/train", 16_000) is not None, "the record was not replaced"
+    assert summarize_record("est/c/train", msgspec.Raw(value)).unreadable or b"other" in value or b'"v": 0' in value
 
 
-def test_a_record_of_a_newer_format_is_left_as_it_is():
+def test_a_record_of_a_newer_format_is_not_overwritten():
     learned = Learned(Clock())
-    learned.offer("est/c/train", msgspec.Raw(json.dumps({**GOOD, "v": 2, "more": 1}).encode()))
-    learned.learn(kind(), 30.0)
-    assert learned.record("c/train", 16_000) is None and learned.curve(kind()).at(0.5) > 0
+    learned.add_stored("est/c/train", msgspec.Raw(json.dumps({**VALID_RECORD, "v": 2, "more": 1}).encode()))
+    learned.learn_completed(features(), 30.0)
+    assert learned.encode_entry("c/train", 16_000) is None and learned.curve(features()).quantile(0.5) > 0
 
 
-def _mutated(data):
-    raw = bytearray(json.dumps(GOOD).encode())
+def _corrupted_record(data):
+    raw = bytearray(json.dumps(VALID_RECORD).encode())
     for _ in range(data.draw(st.integers(1, 8))):
-        at = data.draw(st.integers(0, len(raw) - 1))
-        raw[at : at + data.draw(st.integers(0, 3))] = data.draw(st.binary(max_size=4))
+        start = data.draw(st.integers(0, len(raw) - 1))
+        raw[start : start + data.draw(st.integers(0, 3))] = data.draw(st.binary(max_size=4))
     return bytes(raw)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.data())
-def test_no_stored_bytes_harm_a_leader(data):
+def test_corrupted_records_do_not_break_predictions(data):
     learned = Learned(Clock())
-    learned.offer("est/c/train", msgspec.Raw(_mutated(data)))
-    curve = learned.curve(kind())
-    assert isfinite(curve.at(0.5)) and curve.at(0.5) > 0
-    learned.learn(kind(), 40.0)
-    learned.bound()
-    record = learned.record("c/train", 16 * 1024)
+    learned.add_stored("est/c/train", msgspec.Raw(_corrupted_record(data)))
+    curve = learned.curve(features())
+    assert isfinite(curve.quantile(0.5)) and curve.quantile(0.5) > 0
+    learned.learn_completed(features(), 40.0)
+    learned.drop_excess_stored()
+    record = learned.encode_entry("c/train", 16 * 1024)
     assert record is None or m.decode_entry(record).name == "c/train"
 
 
-BAD_LINES = [
+INVALID_LINES = [
+    # line, a word of the expected message
     ('{"class": "a"', "truncated"),
     ('{"seconds": 3}', "class"),
     ('{"class": "a", "seconds": -3}', "seconds"),
@@ -318,20 +328,20 @@
 ]
 
 
-def test_bad_lines_of_a_history_are_told_one_by_one_and_lose_nothing_else(tmp_path, capsys):
-    good = ['{"class": "a", "seconds": 3, "estimate": 2, "unknown": 1}', ""]
-    lines = [line for bad, _ in BAD_LINES for line in (bad, *good)]
+def test_invalid_history_lines_are_reported_and_all_others_are_used(tmp_path, capsys):
+    valid_lines = ['{"class": "a", "seconds": 3, "estimate": 2, "unknown": 1}', ""]
+    lines = [line for invalid_line, _ in INVALID_LINES for line in (invalid_line, *valid_lines)]
     file = tmp_path / "history"
     file.write_bytes("\n".join(lines).encode() + b'\n{"class": "\xff", "seconds": 3}\n')
     assert main(["estimates", "replay", "--history", str(file), "--json", "--after", "5"]) == 0
     out, err = capsys.readouterr()
     (score,) = json.loads(out)
-    assert (score["class"], score["runs"], score["judged"]) == ("a", len(BAD_LINES), len(BAD_LINES) - 5)
+    assert (score["class"], score["runs"], score["judged"]) == ("a", len(INVALID_LINES), len(INVALID_LINES) - 5)
     assert {"within_20", "covered_50", "covered_80", "covered_95"} <= set(score["owner"]) & set(score)
-    told = err.splitlines()
-    assert len(told) == len(BAD_LINES) + 1
-    for i, (_, word) in enumerate(BAD_LINES):
-        assert f"line {3 * i + 1}:" in told[i] and word in told[i]
+    errors = err.splitlines()
+    assert len(errors) == len(INVALID_LINES) + 1
+    for i, (_, word) in enumerate(INVALID_LINES):
+        assert f"line {3 * i + 1}:" in errors[i] and word in errors[i]
 
 
 @pytest.mark.parametrize(
@@ -345,12 +355,12 @@
         ["--plot", "{}/x.abc"],
     ],
 )
-def test_what_replay_cannot_do_it_says_in_one_line(arguments, tmp_path, capsys):
-    given_ = [argument.format(tmp_path) for argument in arguments]
+def test_replay_reports_each_error_in_one_line(arguments, tmp_path, capsys):
+    replay_arguments = [argument.format(tmp_path) for argument in arguments]
     try:
-        status = main(["estimates", "replay", *given_])
-    except SystemExit as end:
-        status = end.code
+        status = main(["estimates", "replay", *replay_arguments])
+    except SystemExit as exit_:
+        status = exit_.code
     assert status == 2 and len(capsys.readouterr().err.splitlines()) == 1
 
 
@@ -364,34 +374,37 @@
     assert first == second and b"$a_1: " in first
 
 
-LEFT = [
-    # name, what is left, bounds of the middle in runs of 40 s
-    ("nothing", Left(0, 0, [], 4, 0.0, 0.0), (0, 0)),
-    ("one that runs", Left(0, 0, [20.0], 4, 0.0, 0.0), (0.3, 0.8)),
+REMAINING_WORK = [
+    # name, remaining work, bounds of the median completion time in runs of 40 s
+    ("no tasks", Left(0, 0, [], 4, 0.0, 0.0), (0, 0)),
+    ("one running task", Left(0, 0, [20.0], 4, 0.0, 0.0), (0.3, 0.8)),
     ("overdue", Left(0, 0, [200.0], 4, 0.0, 0.0), (0.2, 3)),
     ("two rounds", Left(4, 0, [1.0] * 4, 4, 0.0, 0.0), (1.7, 2.6)),
     ("ten rounds", Left(36, 0, [1.0] * 4, 4, 0.0, 0.0), (9, 11.5)),
-    ("a slot at last", Left(1, 0, [], 0, 400.0, 0.0), (11, 12.5)),
-    ("a fetch first", Left(0, 1, [], 1, 0.0, 40.0), (1.9, 2.3)),
-    ("thousands", Left(8000, 0, [10.0] * 2000, 2000, 0.0, 0.0), (4.5, 6.5)),
+    ("wait for a slot", Left(1, 0, [], 0, 400.0, 0.0), (11, 12.5)),
+    ("image fetch first", Left(0, 1, [], 1, 0.0, 40.0), (1.9, 2.3)),
+    ("thousands of tasks", Left(8000, 0, [10.0] * 2000, 2000, 0.0, 0.0), (4.5, 6.5)),
 ]
 
 
-@pytest.mark.parametrize(("left", "bounds"), [x[1:] for x in LEFT], ids=[x[0] for x in LEFT])
-def test_when_a_job_will_be_done(left, bounds):
-    middle = middle_of(left, Curve(spread(log(40.0), 0.2)), 0.5) / 40
-    assert bounds[0] <= middle <= bounds[1]
+@pytest.mark.parametrize(("remaining", "bounds"), [c[1:] for c in REMAINING_WORK], ids=[c[0] for c in REMAINING_WORK])
+def test_the_median_completion_time_follows_from_the_remaining_work(remaining, bounds):
+    median_runs = middle_of(remaining, Curve(lognormal(log(40.0), 0.2)), 0.5) / 40
+    assert bounds[0] <= median_runs <= bounds[1]
 
 
-def test_stored_records_are_shown_as_text_whatever_their_names():
-    learned = taught(noisy(1, 40, 30), name="\x1b[2J")
-    rows = [shown(m.key_of(e.name), msgspec.Raw(learned.record(e.name, 16_000))) for e in learned.entries()]
-    text = table([*rows, shown("est/c/x", msgspec.Raw(b"{"))])
+def test_summaries_escape_control_characters_in_names():
+    learned = learn_from(noisy(1, 40, 30), job_class="\x1b[2J")
+    summaries = [
+        summarize_record(m.store_key(entry.name), msgspec.Raw(learned.encode_entry(entry.name, 16_000)))
+        for entry in learned.entries()
+    ]
+    text = format_table([*summaries, summarize_record("est/c/x", msgspec.Raw(b"{"))])
     assert "\x1b" not in text and "can't be read" in text and "class" in text
-    assert next(row for row in rows if row.kind == "class").run_s[1] == pytest.approx(40, rel=0.1)
+    assert next(summary for summary in summaries if summary.kind == "class").run_s[1] == pytest.approx(40, rel=0.1)
 
 
-def test_a_shape_is_the_same_within_a_factor_of_two():
+def test_shapes_round_resources_up_to_powers_of_two():
     specs = [msgspec.structs.replace(SPEC, cpus=cpus) for cpus in (1.0, 1.5, 2.0, 4.0)]
-    shapes = [kind_of(spec, MachineId("small")).shape for spec in specs]
+    shapes = [features_of(spec, MachineId("small")).shape for spec in specs]
     assert shapes[1] == shapes[2] and len(set(shapes)) == 3
--- a/tests/support/wire_constants.py
+++ b/tests/support/wire_constants.py
@@ -31,7 +31,7 @@
     revision_of,
     store_epoch_of,
 )
-from meadowcross.estimates.messages import class_name, finish_name, key_of, team_name
+from meadowcross.estimates.messages import class_entry_name, completion_entry_name, store_key, team_entry_name
 from meadowcross.jobs.messages import (
     CHUNK_PREFIX,
     ENDED_PREFIX,
@@ -106,10 +106,10 @@
         "job.chunk_parsed": parse_chunk_key(chunk_key(job, 17)),
         "machine.prefix": MACHINE_KEY_PREFIX,
         "machine": machine_key(MachineId("m-1")),
-        "estimates.class": key_of(class_name("render")),
-        "estimates.class_hashed": key_of(class_name("render ü" * 20)),
-        "estimates.team": key_of(team_name("blue")),
-        "estimates.finish": key_of(finish_name("half")),
+        "estimates.class": store_key(class_entry_name("render")),
+        "estimates.class_hashed": store_key(class_entry_name("render ü" * 20)),
+        "estimates.team": store_key(team_entry_name("blue")),
+        "estimates.finish": store_key(completion_entry_name("half")),
         "ticket.id": ticket,
         "ticket.partition": partition_of(ticket),
         "ticket.open": open_ticket_key(ticket),
--- a/tests/support/wire_samples.py
+++ b/tests/support/wire_samples.py
@@ -29,11 +29,11 @@
 )
 from meadowcross.autoscaling.messages import decode_machine_record as decode_machine_record
 from meadowcross.autoscaling.messages import encode as encode_cloud
+from meadowcross.estimates.entry_summary import EntrySummary
 from meadowcross.estimates.history import Run
-from meadowcross.estimates.messages import EntryRecord, TrackRecord, Version, decode_entry, decode_version
+from meadowcross.estimates.messages import DistributionRecord, EntryRecord, Version, decode_entry, decode_version
 from meadowcross.estimates.messages import encode as encode_estimate
 from meadowcross.estimates.replay import ClassScore, Score
-from meadowcross.estimates.shown import Shown
 from meadowcross.jobs.messages import (
     EndedRecord,
     JobRecord,
@@ -147,11 +147,11 @@
     "job.ended": Codec(EndedRecord, decode_ended, encode_job),
     "job.answer": Codec(JobResponse, _decoder(JobResponse), encode_job),
     "job.chunk": Codec(list[int | tuple[int, str]], decode_chunk, encode_job),
-    "estimates.track": Codec(TrackRecord, _decoder(TrackRecord), encode_estimate),
+    "estimates.track": Codec(DistributionRecord, _decoder(DistributionRecord), encode_estimate),
     "estimates.entry": Codec(EntryRecord, decode_entry, encode_estimate),
     "estimates.version": Codec(Version, decode_version, encode_estimate),
     "estimates.run": Codec(Run, _decoder(Run), encode_estimate),
-    "estimates.shown": Codec(Shown, _decoder(Shown), msgspec.json.encode),
+    "estimates.shown": Codec(EntrySummary, _decoder(EntrySummary), msgspec.json.encode),
     "estimates.score": Codec(Score, _decoder(Score), msgspec.json.encode),
     "estimates.class_score": Codec(ClassScore, _decoder(ClassScore), msgspec.json.encode),
     "relay.grant": Codec(RelayGrant, decode_peer, encode_peer),
