--- a/meadowcross/estimates/learned.py
+++ b/meadowcross/estimates/learned.py
@@ -106,8 +106,8 @@
     """Empty if it is not known yet."""
     guess_s: Seconds
     """The owner's guess; 0 if there is none."""
-    job: str
-    """The job's id; empty if it is unknown."""
+    job_id: str
+    """Empty if it is not known."""
 
 
 @lru_cache(maxsize=4096)
@@ -282,7 +282,7 @@
         with self._lock:
             entry = self._find_entry(m.class_entry_name(features.job_class))
             log_quantiles = self._expected(features)[1]
-            job = self._jobs.get(features.job) if features.job else None
+            job = self._jobs.get(features.job_id) if features.job_id else None
             if entry is None:
                 return Curve(self._apply_job_samples(log_quantiles, job, None))
             log_widths = entry.log_widths[1 if job is not None else 0]
@@ -431,7 +431,7 @@
             log_error = max(-MAX_LOG_ERROR, min(MAX_LOG_ERROR, log(run_s) - log_quantiles[MEDIAN_INDEX]))
             if machine_id and self._update_machine(machine_id, log_error):
                 return
-            job = self._jobs.get(features.job) if features.job else None
+            job = self._jobs.get(features.job_id) if features.job_id else None
             entry = self._get_or_create_entry(m.class_entry_name(features.job_class))
             weight = _next_sample_weight(entry, job)
             if weight >= MIN_SAMPLE_WEIGHT or job is None or job.count % LIGHT_SAMPLE_STRIDE == 0:
@@ -441,8 +441,8 @@
                 for name in _subgroup_names(features):
                     self._add_to_subgroup(entry, name, exp(residual), weight)
                 self._add_sample(features, run_s, weight)
-            if features.job:
-                self._add_to_job(features.job, job, log_error)
+            if features.job_id:
+                self._add_to_job(features.job_id, job, log_error)
 
     def learn_interrupted(self, features: RunFeatures, elapsed_s: Seconds) -> None:
         """Learn from an interrupted run, a right-censored sample.
@@ -456,7 +456,7 @@
             outlasted_share = curve.share_below(elapsed_s)
             if outlasted_share > 0.5:
                 predicted_s = max(elapsed_s, curve.quantile(outlasted_share + (1 - outlasted_share) / 2))
-                job = self._jobs.get(features.job) if features.job else None
+                job = self._jobs.get(features.job_id) if features.job_id else None
                 self._add_sample(
                     features,
                     predicted_s,
@@ -556,10 +556,11 @@
                     self._expected(features_of(spec))[1], job, self._find_entry(m.class_entry_name(spec.job_class))
                 )
                 threshold_s = max(MIN_RUN_S, exp(log_quantiles[QUANTILES.index(OVERDUE_QUANTILE)]))
-                overdue_s = [ran for ran in elapsed_s if ran > threshold_s]
+                overdue_s = [run_s for run_s in elapsed_s if run_s > threshold_s]
                 if job is not None:
                     job.overdue = [
-                        (log(ran) - log_quantiles[MEDIAN_INDEX], 1.0) for ran in sorted(overdue_s)[:MAX_OVERDUE_TASKS]
+                        (log(run_s) - log_quantiles[MEDIAN_INDEX], 1.0)
+                        for run_s in sorted(overdue_s)[:MAX_OVERDUE_TASKS]
                     ]
                 elif overdue_s:
                     # As with samples, similar tasks of one job count for little more than one task.
