--- a/meadowcross/recovery/__init__.py
+++ b/meadowcross/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Recovery of a store that has lost data: noticing it, holding still, and writing back what others still know."""
+"""Recovery of a store that has lost data: detect the loss, stop serving, collect the remaining data, write it back."""
--- a/meadowcross/recovery/audit.py
+++ b/meadowcross/recovery/audit.py
@@ -1,7 +1,7 @@
-"""Looks for keys that the store lost silently, by comparing it with a follower's replica, a few keys at a time.
+"""Detects keys that the store lost silently, by comparing the store with a follower's replica, a few keys at a time.
 
-Revisions only grow, and the feed shows each key that is deleted. So a key that the store has at an older revision, or
-not at all, while the replica, caught up after the read, still has it, was lost. One follower at a time audits.
+Revisions only grow, and the feed reports each deletion. A key was therefore lost if the store has an older revision of
+it, or lacks it, while the replica still has it after a poll that followed the read. One follower at a time audits.
 """
 
 from __future__ import annotations
@@ -20,13 +20,15 @@
 log = get_logger("rebuild")
 
 REQUEST_INTERVAL_S: Seconds = 1.0
-"""One request a second at the most; open work first, so that all of it is compared within some ten seconds."""
+"""Pause before each comparison, which limits the audit to about one request per second."""
 ROUND_PAUSE_S: Seconds = 5.0
+"""Pause after all keys were compared."""
 AUDITED_PREFIXES = ("j/", "t/", "w/", "e/")
+"""Key prefixes in the order of the audit: open work comes first and is compared within about ten seconds."""
 
 
 class StoreAuditor:
-    """Reports a loss of data to the store epochs as soon as the replica proves it."""
+    """Compares the store with the follower's replica and reports a proven data loss to the store epochs."""
 
     def __init__(
         self,
@@ -36,7 +38,7 @@
         follower: ReplicaFollower,
         is_own_turn: Callable[[], bool],
     ) -> None:
-        """`is_own_turn` says whether this node, of all followers, is the one to audit now."""
+        """`is_own_turn` returns whether this node is the one follower that audits now."""
         self._clock = clock
         self._store = store
         self._store_epochs = store_epochs
@@ -44,7 +46,7 @@
         self._is_own_turn = is_own_turn
 
     async def run(self) -> None:
-        """Audit all keys, round by round, for ever."""
+        """Audit all keys in rounds, without end. Errors are logged and end only the current round."""
         while True:
             try:
                 for prefix in AUDITED_PREFIXES:
@@ -52,7 +54,7 @@
             except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
                 log.debug("audit_waits error=%s", error)
             except Exception:
-                # The loop goes on with the next round.
+                # An unexpected error must not end the loop: the next round begins after the pause.
                 log.exception("audit_error")
             await pause(self._clock, ROUND_PAUSE_S)
 
@@ -67,16 +69,16 @@
                 await self.check_key(key)
 
     def _conditions_for(self, keys: list[str]) -> list[Condition]:
-        """That the keys have the replica's revisions, for those that it still has."""
+        """Return one condition per key: the store has the replica's revision. Keys the replica lacks are left out."""
         items = map(self._follower.replica.get, keys)
         return [Condition(item.key, item.mod_revision) for item in items if item is not None]
 
     async def check_key(self, key: str) -> None:
-        """Find out whether a key that differs from the replica is newer, being deleted, or lost.
+        """Find out whether a key that differs from the replica is newer, deleted, or lost, and report a loss.
 
-        It is compared with what the replica had before the store was read: once a chunk that was written between the
-        read and the next poll of the feed was taken for one that had gone back, every ten seconds on a busy day.
-        Raises what the store client raises.
+        The key is compared with the replica's item from before the read. A comparison with a later item reported a
+        chunk that was written between the read and the next poll as a loss, every ten seconds under high load.
+        Raises the errors of the store client.
         """
         replica = self._follower.replica
         expected = replica.get(key)
@@ -85,7 +87,7 @@
         stored = await self._store.get(key, RequestPriority.BACKGROUND)
         if stored is not None:
             if stored.mod_revision < expected.mod_revision:
-                reason = f"{key} went back from {expected.mod_revision} to {stored.mod_revision}"
+                reason = f"{key} is outdated: expected revision {expected.mod_revision}, found {stored.mod_revision}"
                 self._store_epochs.report_loss(reason)
             return
         await self._follower.poll_now(0.0)
@@ -93,5 +95,5 @@
             return
         current = replica.get(key)
         if current is not None and current.mod_revision == expected.mod_revision:
-            # The feed, which reaches beyond the read, shows no deletion.
-            self._store_epochs.report_loss(f"{key} is gone")
+            # The poll covers all changes up to the read and reported no deletion of the key.
+            self._store_epochs.report_loss(f"{key} is missing without a deletion")
--- a/meadowcross/recovery/collect.py
+++ b/meadowcross/recovery/collect.py
@@ -1,4 +1,4 @@
-"""Collects what was lost from all that still know it: replicas of nodes, snapshots, and what is left in the store."""
+"""Collects lost data from every source that still has it: the nodes' replicas, snapshots, and the store itself."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class CollectedState(NamedTuple):
-    """What is still known, and the revision of the store that it was compared with."""
+    """The merged state of all sources, and the store's revision at which it was compared with the store."""
 
     merged: MergedState
     revision: Revision
 
 
 class LocalSources:
-    """What this node itself knows of the store before a loss: its replica and its snapshots."""
+    """This node's own recovery sources: its pre-loss replica and its snapshots."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._read_snapshots = read_snapshots
 
     def read(self) -> list[RecoverySource]:
-        """Read the snapshots from the disk, and the replica, where it was kept."""
+        """Read the snapshots from the disk and add the pre-loss replica, if this node has one."""
         sources = list(self._read_snapshots())
         pre_loss = self._follower.pre_loss_replica if self._follower is not None else None
         if pre_loss is not None:
@@ -53,7 +53,7 @@
 
 
 class StateRecovery:
-    """What a term needs to begin on a store that has lost data."""
+    """Collects and merges the recovery sources for a term that begins on a store that has lost data."""
 
     def __init__(
         self,
@@ -63,7 +63,11 @@
         peer_replicas: PeerReplicas,
         lost_jobs_wait_s: Seconds | None,
     ) -> None:
-        """`lost_jobs_wait_s` is how long jobs that nobody knows are not said to be unknown; None: for ever."""
+        """Collect from `local_sources` and `peer_replicas`.
+
+        `lost_jobs_wait_s` is how long a job without a record may still turn up. Until then a request for such a job
+        gets status 503, not 404. None: without limit.
+        """
         self._store = store
         self.store_epochs = store_epochs
         self._local_sources = local_sources
@@ -72,32 +76,32 @@
         self._own_sources: list[RecoverySource] = []
 
     @property
-    def unanswered_peers(self) -> set[NodeName]:
-        """Peers that may still know what nobody else does."""
-        return self._peer_replicas.unanswered
+    def missing_peers(self) -> set[NodeName]:
+        """Peers whose replica has not arrived and may hold data that no other source has."""
+        return self._peer_replicas.missing_peers
 
     def is_needed(self) -> bool:
-        """Whether a term that begins now must write lost data back."""
+        """Return whether a term that begins now must write lost data back."""
         return self.store_epochs.stage in (RecoveryStage.OPEN_JOBS, RecoveryStage.ENDED_JOBS)
 
     def is_unsettled(self) -> bool:
-        """Whether tasks of jobs that nobody knows may still belong to a job that was accepted."""
+        """Return whether a task of a job without a record may still belong to an accepted job."""
         return self.store_epochs.stage is not None
 
-    def have_all_peers_answered(self) -> bool:
-        """Whether every peer sent its replica, so that nothing that users were told can be missing."""
-        return self._peer_replicas.have_all_sent()
+    def has_all_peer_replicas(self) -> bool:
+        """Return whether every peer sent a replica, so that nothing that users saw confirmed can be missing."""
+        return self._peer_replicas.has_all_replicas()
 
     def prioritize(self, is_prioritized: bool) -> None:
-        """While much is written back, use four fifths of the store's rate; else a leader's share."""
+        """Use four fifths of the store's request rate during the write-back, or the leader's share otherwise."""
         self._store.reset_share(RECOVERY_SHARE if is_prioritized else LEADER_SHARE)
 
     async def collect(self) -> CollectedState:
-        """Everything that is still known. Raises what the store client raises."""
+        """Merge all local sources, the connected peers' replicas and the store. Raises the store client's errors."""
         self._own_sources = self._local_sources.read()
-        # Peers are asked also where a leader's own replica is there: it lacks nothing that leaders stored, but what
-        # users did at other nodes in the last moment only those may have seen.
-        self._peer_replicas.reset(is_any_wanted=not self.store_epochs.is_loss_older)
+        # Peers are asked even if a leader's own replica is available: that replica has all that leaders stored, but
+        # the last submissions and cancellations at other nodes may be only in the replicas of those nodes.
+        self._peer_replicas.reset(may_ask_peers=not self.store_epochs.is_loss_older)
         await self._peer_replicas.fetch()
         stored_items, revision = await self._store.list_items("", RequestPriority.LEADERSHIP)
         merged = self._merge(stored_items)
@@ -111,9 +115,9 @@
         return CollectedState(merged, revision)
 
     async def collect_late(self) -> MergedState | None:
-        """Ask the peers that did not answer before.
+        """Ask the missing peers once more and merge all sources again.
 
-        With what they add, everything merged again; None without news. Raises what the store client raises.
+        Returns None if no further replica arrived. Raises the errors of the store client.
         """
         previous_count = len(self._peer_replicas.sources)
         await self._peer_replicas.fetch()
@@ -129,7 +133,10 @@
 
 
 def build_expected_replica(merged: MergedState, revision: Revision) -> StoreReplica:
-    """What the store will hold, for whoever leads meanwhile; what it lacks yet has the oldest possible revision."""
+    """Return a replica of the store as it will be after the write-back, for the leader to work with meanwhile.
+
+    A key that the store does not have yet gets revision 1, the lowest one.
+    """
     replica = StoreReplica()
     stored = merged.stored_revisions
     items = (Item(key, item.value, stored.get(key) or Revision(1)) for key, item in merged.items.items())
--- a/meadowcross/recovery/merge.py
+++ b/meadowcross/recovery/merge.py
@@ -1,9 +1,9 @@
-"""One state out of several replicas and what is left in the store. Pure functions.
+"""Merges several replicas and the remaining content of the store into one state, with pure functions.
 
-Revisions order everything within an epoch. The replica that is complete up to the highest revision is the base: a
-machine that it lacks although it is older than that revision was deleted, whoever still has it; a job is over only
-where a source has its end. What was written to the store in the new epoch is newer than any replica; what is left there
-of the old epoch counts as one more source, by its revisions.
+Revisions order all changes within an epoch. The source that is complete up to the highest revision is the base. A
+machine's item that the base lacks, and whose revision is not above the base's, was deleted, even if another source
+still has it. A job has ended only if a source has its end record. An item that was written to the store in the new
+epoch is newer than any source; an item that remains from the old epoch is merged by its revision like one more source.
 """
 
 from __future__ import annotations
@@ -18,50 +18,50 @@
 
 JOB_PREFIXES = (OPEN_PREFIX, CHUNK_PREFIX, ENDED_PREFIX)
 EPOCH_KEYS = (LEADER_KEY, EPOCH_KEY, RECOVERY_PROGRESS_KEY)
-"""Keys of the epoch itself, which are never restored."""
+"""Keys that belong to one epoch or one leader and are never restored."""
 
 
 @dataclass(slots=True)
 class RecoverySource:
-    """A replica that a node followed, or a snapshot of one."""
+    """A state of the store from before the loss: a node's replica, or a snapshot."""
 
     name: NodeName
     epoch: int
     revision: Revision
     is_complete: bool
-    """It is a leader's own, and lacks nothing that was stored."""
+    """Whether the source is a leader's own replica, which has everything that was stored."""
     items: dict[str, Item]
 
 
 @dataclass(slots=True)
 class MergedState:
-    """What the store should hold, by key, and what it holds now."""
+    """The items that the store should hold, by key, and the revisions that it holds now."""
 
     items: dict[str, Item] = field(default_factory=dict)
     stored_revisions: dict[str, Revision] = field(default_factory=dict)
-    """The revision in the store of each key that it has."""
+    """Revision of each key that the store has."""
     is_complete: bool = False
-    """Nothing that was stored before the loss can be missing."""
+    """Whether nothing that was stored before the loss can be missing."""
     sources: list[str] = field(default_factory=list)
     """Descriptions of the sources, for the log."""
 
     def items_under(self, prefix: str) -> list[Item]:
-        """The items below a prefix, each with the revision that the store has now: 0 where it lacks the key."""
-        return [self._replacing(key, item) for key, item in self.items.items() if key.startswith(prefix)]
+        """Return the items under a prefix, each with the key's present revision in the store (0: the key is absent)."""
+        return [self._with_stored_revision(key, item) for key, item in self.items.items() if key.startswith(prefix)]
 
     def missing_under(self, prefix: str) -> list[Item]:
-        """What must be written back, each with the revision in the store that it replaces."""
+        """Return the items under a prefix that must be written back, each with the revision that it replaces."""
         return [
-            self._replacing(key, item)
+            self._with_stored_revision(key, item)
             for key, item in self.items.items()
             if key.startswith(prefix) and self.stored_revisions.get(key) != item.mod_revision
         ]
 
-    def _replacing(self, key: str, item: Item) -> Item:
+    def _with_stored_revision(self, key: str, item: Item) -> Item:
         return Item(key, item.value, self.stored_revisions.get(key, Revision(0)))
 
     def stale_keys(self) -> list[str]:
-        """What the store has again although it was deleted."""
+        """Return the keys that the store has although they were deleted before the loss."""
         return [key for key in self.stored_revisions if key not in self.items and key not in EPOCH_KEYS]
 
 
@@ -71,18 +71,18 @@
     epoch_revision: Revision,
     is_loss_older: bool = False,
 ) -> MergedState:
-    """Merge the sources with what the store holds.
+    """Merge the sources with the items that the store holds.
 
-    `epoch_revision` is the revision of the new epoch's record: what the store got later is of the new epoch. With
-    `is_loss_older` the store was written to for a while since the loss, at revisions that mean others to the sources:
-    all of it is kept.
+    `epoch_revision` is the revision of the new epoch's record; items with a higher revision belong to the new epoch.
+    `is_loss_older`: the loss happened before the nodes began to follow the store, and the store has been written to
+    since. Its revisions can't be compared with those of the sources, so all its items are kept.
     """
     newest_first = sorted(sources, key=lambda source: (source.epoch, source.is_complete, source.revision), reverse=True)
     newest_items, base_revision = _merge_sources(newest_first)
     stored_base = base_revision if newest_first and not is_loss_older else Revision(0)
     merged = MergedState(
         is_complete=bool(newest_first) and newest_first[0].is_complete,
-        sources=[f"{source.name} (era {source.epoch}, revision {source.revision})" for source in newest_first],
+        sources=[f"{source.name} (epoch {source.epoch}, revision {source.revision})" for source in newest_first],
     )
     new_epoch_keys: set[str] = set()
     for item in stored_items:
@@ -102,14 +102,14 @@
 
 
 def _merge_sources(newest_first: Sequence[RecoverySource]) -> tuple[dict[str, Item], Revision]:
-    """The newest item of each key, and the highest revision up to which a source is complete."""
+    """Return the newest item of each key, and the highest revision up to which a source is complete."""
     newest_items: dict[str, Item] = {}
     base_revision = Revision(0)
     newest_epoch = newest_first[0].epoch if newest_first else 0
     for source in newest_first:
         is_current = source.epoch == newest_epoch
         for key, item in source.items.items():
-            # Of an older epoch only ended jobs still mean something: an end is never taken back.
+            # Only end records of an older epoch are used: the end of a job is final.
             if is_current or key.startswith(ENDED_PREFIX):
                 _keep_newest(newest_items, key, item, base_revision)
         if is_current:
@@ -118,10 +118,11 @@
 
 
 def _keep_newest(newest_items: dict[str, Item], key: str, item: Item, base_revision: Revision) -> None:
-    """Keep the newer of two items; one that no other source has only if the base can't have deleted it.
+    """Keep the newer of two items. An item of a single source is kept only if the base can't have deleted it.
 
-    Jobs are always kept: an open one only ever moves to its end, in one step, so one without an end anywhere was not
-    deleted, whatever the base's revision says. That may have been counted anew after the loss, before it was noticed.
+    Items of jobs are always kept. The record of an open job is only replaced by the job's end record, in one
+    transaction, so a job without an end record in any source was not deleted, even if the base's revision is higher:
+    that revision may come from a count that restarted after the loss, before the loss was detected.
     """
     current = newest_items.get(key)
     if current is None:
@@ -132,7 +133,7 @@
 
 
 def _drop_ended_jobs(newest_items: dict[str, Item], new_epoch_keys: set[str]) -> None:
-    """A job that ended is not open any more, whatever else is still known of it."""
+    """Remove the open records and chunks of ended jobs, and the chunks of the old epoch that have no open job."""
     ended_jobs = {JobId(key.removeprefix(ENDED_PREFIX)) for key in newest_items if key.startswith(ENDED_PREFIX)}
     open_jobs = {JobId(key.removeprefix(OPEN_PREFIX)) for key in newest_items if key.startswith(OPEN_PREFIX)}
     for key in list(newest_items):
--- a/meadowcross/recovery/messages.py
+++ b/meadowcross/recovery/messages.py
@@ -1,4 +1,7 @@
-"""Store epochs as stored, and how nodes send each other their replicas; wire and key names stay in this file."""
+"""Stored records of store epochs and recoveries, and the messages in which nodes send each other their replicas.
+
+This module maps the names on the wire and in the store to attributes; no other module uses these names.
+"""
 
 from __future__ import annotations
 
@@ -15,44 +18,52 @@
 
 
 class StoreEpochRecord(Struct, frozen=True):
-    """Stored under EPOCH_KEY and never rewritten within an epoch: everything that is written is conditional on it."""
+    """Record of the present epoch, stored under EPOCH_KEY.
+
+    The record is never rewritten within an epoch, and every write to the store is conditional on its revision.
+    """
 
     number: int = field(name="n")
+    """Number of the epoch, from 0."""
     unique_id: str = field(name="x")
+    """Distinguishes two epochs with the same number, for example after the store was replaced."""
 
 
 class RecoveryStage(IntEnum):
-    """How far a recovery has come."""
+    """Stages of a recovery, in their order."""
 
     OPEN_JOBS = 1
-    """Open jobs, tasks and machines are written back; users are asked to retry."""
+    """Open jobs, tasks and machines are written back; users' requests are answered with a request to retry."""
     ENDED_JOBS = 2
-    """Ended jobs are written back; the leader answers for them from what it collected."""
+    """Ended jobs are written back; the leader answers requests for ended jobs from the collected state."""
     SETTLING = 3
-    """All that was known is back; a job that nobody knows may still have been accepted."""
+    """All collected data is written back; a job without a record may still have been accepted before the loss."""
 
 
 class RecoveryProgress(Struct, frozen=True):
-    """Stored under RECOVERY_PROGRESS_KEY, from the beginning of an epoch until all is settled."""
+    """Progress of a recovery, stored under RECOVERY_PROGRESS_KEY from the start of the epoch until it is complete."""
 
     epoch: int = field(name="n")
     stage: RecoveryStage = field(name="p")
     settling_until: WallTime | None = field(name="u", default=None)
-    """While settling: until then jobs that nobody knows are not said to be unknown; None: for ever."""
+    """End of the settling stage. Before it, a request for a job without a record gets status 503, not 404; None: the
+    stage has no end."""
     proven_jobs: list[str] = field(name="j", default_factory=list)
-    """Jobs of which nothing is left but tasks on machines. That proves that they were submitted, so they stay known,
-    also once the time is up, until their users submit them again."""
+    """Jobs whose records are lost but whose tasks still run on machines, which proves that they were submitted. These
+    jobs stay known after `settling_until`, until their users submit them again."""
 
 
 MAX_PROVEN_JOBS = 400
-"""Of RecoveryProgress; a value of the store holds so many with room to spare."""
+"""Limit for `RecoveryProgress.proven_jobs`, well within the size of a stored value."""
 
 
 class ReplicaPartRequest(Struct, tag="picture?", tag_field="kind"):
-    """Asks a peer for what it followed before the loss, from the key after `after_key` on."""
+    """Asks a peer for a part of its pre-loss replica."""
 
     number: int
+    """Number of the request, which the response repeats."""
     after_key: str = field(name="after", default="")
+    """The part begins with the first key above this one."""
 
 
 class ReplicaPartItem(NamedTuple):
@@ -64,18 +75,21 @@
 
 
 class ReplicaPart(Struct, tag="picture", tag_field="kind"):
-    """Items in the order of their keys; without `epoch` the peer has no replica of before the loss."""
+    """Response to a ReplicaPartRequest: items of the pre-loss replica in the order of their keys."""
 
     number: int
+    """Number of the request."""
     node: NodeName
+    """The node that sends the part."""
     epoch: int | None = field(name="era", default=None)
-    """In which the replica was followed."""
+    """Epoch in which the replica was followed; None: the peer has no pre-loss replica."""
     revision: Revision = Revision(0)
-    """Of the replica."""
+    """Revision up to which the replica follows the store."""
     is_complete: bool = field(name="whole", default=False)
-    """The replica is a leader's own, and lacks nothing that was stored."""
+    """Whether the replica is a leader's own, which has everything that was stored."""
     items: list[ReplicaPartItem] = []
     has_more: bool = field(name="more", default=False)
+    """Whether further items follow the last one of this part."""
 
 
 Message = ReplicaPartRequest | ReplicaPart
--- a/meadowcross/recovery/peer_replicas.py
+++ b/meadowcross/recovery/peer_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas of before a loss, sent between nodes in parts."""
+"""Sends this node's pre-loss replica to a peer, and fetches the peers' pre-loss replicas, part by part."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 log = get_logger("rebuild")
 
 MAX_PART_BYTES = 128 * 1024
-"""Of one answer, which fits a netstring of the link."""
+"""Limit for the items of one part, which has to fit into one netstring of the peer connection."""
 ITEM_OVERHEAD_BYTES = 40
-"""Of an item in a part beside its key and value, about."""
+"""Approximate encoded size of an item in a part, without its key and value."""
 MAX_ATTEMPTS = 3
 RETRY_DELAY_S: Seconds = 0.3
 
 RequestReplicaPart = Callable[[NodeName, str], Awaitable[ReplicaPart | None]]
-"""Asks a peer for the keys after one; None without an answer."""
+"""Requests the part after a key from a peer. Returns None if no response arrives."""
 
 
 class PeerUnresponsiveError(Exception):
-    """A peer did not answer; it may still know what nobody else does."""
+    """A peer did not send its replica, which may hold data that no other source has."""
 
     def __init__(self, peer: NodeName) -> None:
         super().__init__(f"{peer} did not send its replica in {MAX_ATTEMPTS} attempts")
 
 
 def build_replica_part(follower: ReplicaFollower, request: ReplicaPartRequest, node: NodeName) -> ReplicaPart:
-    """A part of what this node followed before the loss, in the order of the keys."""
+    """Return the part of this node's pre-loss replica after the request's key, in the order of the keys."""
     pre_loss = follower.pre_loss_replica
     if pre_loss is None:
         return ReplicaPart(request.number, node)
@@ -51,7 +51,7 @@
 
 
 class PeerReplicas:
-    """Collects the replicas that peers followed before a loss."""
+    """Fetches the pre-loss replicas of the peers."""
 
     def __init__(
         self,
@@ -64,34 +64,34 @@
         self._all_peers = all_peers
         self._connected_peers = connected_peers
         self._request_part = request_part
-        self.unanswered: set[NodeName] = set()
-        """Peers that may still know what nobody else does."""
+        self.missing_peers: set[NodeName] = set()
+        """Peers that have not responded yet; their replicas may hold data that no other source has."""
         self.sources: list[RecoverySource] = []
-        """The replicas received."""
+        """The replicas received so far."""
 
-    def reset(self, is_any_wanted: bool) -> None:
-        """Forget what was received; all peers are to be asked, or none."""
+    def reset(self, may_ask_peers: bool) -> None:
+        """Discard all received replicas. The next `fetch` asks every peer, or none if `may_ask_peers` is false."""
         self.sources = []
-        self.unanswered = set(self._all_peers) if is_any_wanted else set()
+        self.missing_peers = set(self._all_peers) if may_ask_peers else set()
 
-    def have_all_sent(self) -> bool:
-        """Whether every peer sent a replica, so that nothing that users were told can be missing."""
+    def has_all_replicas(self) -> bool:
+        """Return whether every peer sent a replica, so that nothing that users saw confirmed can be missing."""
         return {source.name for source in self.sources}.issuperset(self._all_peers)
 
     async def fetch(self) -> None:
-        """Ask the connected peers that have not answered yet; one without a replica has answered, too."""
-        for peer in sorted(self.unanswered & set(self._connected_peers())):
+        """Request the replicas of the connected missing peers. A peer that reports no replica is not missing either."""
+        for peer in sorted(self.missing_peers & set(self._connected_peers())):
             try:
                 source = await self._fetch_replica(peer)
             except PeerUnresponsiveError as error:
                 log.info("replica_not_received reason=%r", str(error))
                 continue
-            self.unanswered.discard(peer)
+            self.missing_peers.discard(peer)
             if source is not None:
                 self.sources.append(source)
 
     async def _fetch_replica(self, peer: NodeName) -> RecoverySource | None:
-        """A peer's whole replica, part by part; None where it has none. Raises PeerUnresponsiveError."""
+        """Return a peer's whole replica, or None if it has none. Raises PeerUnresponsiveError."""
         items: dict[str, Item] = {}
         after_key = ""
         while True:
--- a/meadowcross/recovery/store_epochs.py
+++ b/meadowcross/recovery/store_epochs.py
@@ -1,9 +1,9 @@
-"""Store epochs: whether the state service still holds what was stored in it.
+"""Store epochs: detects whether the state service still holds the data that was stored in it.
 
-A store that came back empty, or as it was minutes ago, answers like any other. What gives it away: the epoch's record
-is gone or another; a revision lower than one known before the request was sent; a revision of one of our keys that went
-back; a worker's token that the store's own count has not reached. Each of these is proof, and none is a matter of time,
-so slow, late or missing answers raise no alarm.
+A store that restarts empty, or with a state of some minutes ago, responds like an intact one. Its data loss shows by
+one of these proofs: the epoch record is missing or differs; the store's revision is lower than one known before the
+request was sent; the revision of a key decreased; a worker has a token that the store's revision has not reached. No
+proof depends on time, so slow, late or missing responses never count as a data loss.
 """
 
 from __future__ import annotations
@@ -38,32 +38,33 @@
 log = get_logger("rebuild")
 
 POLL_INTERVAL_S: Seconds = 0.3
-"""Between reads of the record, while the store is not known to be intact."""
+"""Time between reads of the epoch record while the store is not known to be intact."""
 STARTUP_POLL_INTERVAL_S: Seconds = 0.02
-RENTAL_AGE_MARGIN_S: Seconds = 5.0
-"""Beyond this a machine's age is not explained by clocks, or by who rented machines just now."""
+"""The same before the epoch record has been read for the first time."""
+MACHINE_AGE_MARGIN_S: Seconds = 5.0
+"""Tolerance for a machine's age beyond the epoch's: clock offsets, and machines created as the epoch began."""
 NEW_CLUSTER_KEYS = (EPOCH_KEY, LEADER_KEY, "types")
-"""What a new cluster's nodes may store before anybody else does."""
+"""Keys that the nodes of a new cluster may store before there is any job or machine."""
 decode_epoch_record = msgspec.json.Decoder(StoreEpochRecord).decode
 decode_progress = msgspec.json.Decoder(RecoveryProgress).decode
 
 
 class EpochState(Enum):
-    """What this node knows of the store."""
+    """Whether the store is intact, as far as this node has detected."""
 
     UNKNOWN = "unknown"
-    """The record was not read yet."""
+    """The epoch record has not been read yet."""
     INTACT = "whole"
     LOST = "lost"
     """Data was lost; nothing is served or written until a leader begins a new epoch."""
     RECOVERING = "rebuilding"
-    """A leader writes back what was lost."""
+    """A leader writes lost data back."""
 
 
 class StoreEpochs:
-    """What this node knows of the store's epoch, and whether it may rely on the store.
+    """Tracks the store's epoch and decides whether this node may rely on the store.
 
-    It is the guard of the store client. All methods run on the reactor thread.
+    The store client uses an instance as its guard. All methods run on the reactor thread.
     """
 
     def __init__(
@@ -72,20 +73,21 @@
         store: StoreClient,
         on_data_loss: Callable[[str], None],
         on_recovered: Callable[[], None],
-        oldest_rental_age: Callable[[], Awaitable[Seconds | None]],
+        get_oldest_machine_age_s: Callable[[], Awaitable[Seconds | None]],
         minimum_position: Callable[[], tuple[int, int]] = lambda: (0, 0),
     ) -> None:
-        """`on_data_loss` gets the reason of a loss; `on_recovered` is called once all that was known is back.
+        """Register as the guard of `store`.
 
-        `oldest_rental_age` gives the age of the oldest machine that the cloud lists, 0 where it lists none, or None
-        without an answer; `minimum_position` the epoch and revision that the store has reached for certain, as a
-        snapshot shows.
+        `on_data_loss` is called with the reason of a loss, and `on_recovered` once all collected data is written back.
+        `get_oldest_machine_age_s` returns the age of the oldest machine that the cloud lists, 0 if it lists none, or
+        None without a response. `minimum_position` returns an epoch and revision that the store is known to have
+        reached, as a snapshot proves.
         """
         self._clock = clock
         self._store = store
         self._on_data_loss = on_data_loss
         self._on_recovered = on_recovered
-        self._oldest_rental_age = oldest_rental_age
+        self._get_oldest_machine_age_s = get_oldest_machine_age_s
         self._minimum_position = minimum_position
         self._epoch_began_at = 0.0
         self._progress_revision = Revision(0)
@@ -96,43 +98,43 @@
         self.progress: RecoveryProgress | None = None
         self.loss_reason = ""
         self.highest_token = FencingToken(0)
-        """The highest token seen anywhere: on workers, in peers' heartbeats, in snapshots."""
+        """The highest token received from any worker or peer."""
         self.is_loss_older = False
-        """The loss is older than anything that this node, or who reported it, has followed."""
+        """Whether the loss happened before this node, or the peer that reported the loss, began to follow the store."""
         self.is_new_cluster = False
-        """This node began the epoch on an empty store, and nothing has shown yet that there was one before."""
+        """Whether this node began the first epoch on an empty store, with no sign so far of an earlier cluster."""
         store.guard = self
 
-    # For the store client
+    # Guard of the store client
 
     def epoch_condition(self) -> Condition | None:
-        """What all writes and comparisons carry, so that none succeeds on a store of another epoch.
+        """Return the condition that every write and comparison carries, so that none succeeds in another epoch.
 
-        Raises StoreUnavailableError where the store can't be relied on.
+        Raises StoreUnavailableError if the store has lost data or its epoch is not known yet.
         """
         if self.state is EpochState.LOST:
             reason = f"the state service has lost data: {self.loss_reason}"
             raise StoreUnavailableError(reason)
         if self.record is None:
-            reason = "the state service's era is not known yet"
+            reason = "the state service's epoch is not known yet"
             raise StoreUnavailableError(reason)
         return Condition(EPOCH_KEY, self.record_revision)
 
     def on_epoch_mismatch(self) -> None:
-        """The condition failed: the record is gone, or another one."""
+        """Handle a failed epoch condition: the epoch record is missing or differs, so `run` reads it again."""
         self._is_check_due = True
 
     def on_revision_regressed(self, known: Revision, received: Revision) -> None:
-        """A request sent when revision `known` was known was answered with a lower one."""
-        self.report_loss(f"its revision went back from {known} to {received}")
+        """Report a loss: `received` came in response to a request that was sent after revision `known` was known."""
+        self.report_loss(f"the store's revision decreased from {known} to {received}")
 
-    # Noticing a loss
+    # Detection of a data loss
 
     def report_loss(self, reason: str, is_loss_older: bool = False) -> None:
-        """There is proof that data was lost: hold still until a recovery has a leader.
+        """Record a proven data loss: nothing is served or written until a leader begins a new epoch.
 
-        With `is_loss_older` it was lost before this node followed the store, so that this node knows no more than the
-        store has.
+        `is_loss_older`: the data was lost before this node followed the store, so its replica has nothing that the
+        store lacks. The call has no effect in the states UNKNOWN and LOST.
         """
         if self.state not in (EpochState.INTACT, EpochState.RECOVERING):
             return
@@ -141,22 +143,22 @@
         self._on_data_loss(reason)
 
     def is_lost(self) -> bool:
-        """Whether data was lost and no recovery has begun."""
+        """Return whether data was lost and no recovery has begun."""
         return self.state is EpochState.LOST
 
     def observe_token(self, token: FencingToken) -> None:
-        """A worker or a peer showed this token."""
+        """Record a token that a worker or a peer sent."""
         self.highest_token = max(self.highest_token, token)
 
     def on_loss_reported(self, epoch: int, node: str, is_loss_older: bool) -> None:
-        """A peer has proof of a loss in this epoch; it counts where that is the current one."""
+        """Handle a peer's report of a loss; a report about an epoch other than the current one is ignored."""
         if self.record is not None and self.record.number == epoch:
-            self.report_loss(f"{node} has noticed it", is_loss_older)
+            self.report_loss(f"{node} reported a data loss", is_loss_older)
 
-    # Reading the current epoch
+    # Reading the epoch record
 
     async def run(self) -> None:
-        """Read the record whenever it is in doubt, for ever."""
+        """Read the epoch record whenever it may have changed, without end. Errors are logged."""
         while True:
             try:
                 if self.state is not EpochState.INTACT or self._is_check_due:
@@ -166,13 +168,14 @@
             except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError) as error:
                 log.debug("epoch_not_read error=%s", error)
             except Exception:
-                # The loop goes on: the record is read again.
+                # An unexpected error must not end the loop: the record is read again.
                 log.exception("epoch_error")
-            # Nobody is served before the record is known: another node may just have written it.
+            # No request is served before the record is known, so the first reads follow each other quickly: another
+            # node may just have written the record.
             await pause(self._clock, POLL_INTERVAL_S if self.record is not None else STARTUP_POLL_INTERVAL_S)
 
     async def refresh(self) -> None:
-        """Read the record and compare it with what is known. Raises what the store client raises."""
+        """Read the epoch record and compare it with the known one. Raises the errors of the store client."""
         item = await self._store.get(EPOCH_KEY, RequestPriority.LEADERSHIP)
         self._is_check_due = False
         known_record = self.record
@@ -180,18 +183,18 @@
             if known_record is None:
                 await self._begin_first_epoch()
             else:
-                self.report_loss("the era's record is gone")
+                self.report_loss("the epoch record is missing")
             return
         record = decode_epoch_record(item.value)
         if known_record is not None and self._is_other_store(record, item.mod_revision, known_record):
-            self.report_loss(f"it tells of era {record.number}, ours is {known_record.number}")
+            self.report_loss(f"the store holds epoch {record.number}, expected epoch {known_record.number}")
             return
         is_new_epoch = known_record is None or record.number > known_record.number
         if self._is_loss_final(is_new_epoch):
             return
         progress_item = await self._store.get(RECOVERY_PROGRESS_KEY, RequestPriority.LEADERSHIP)
         if self.record is not known_record or self._is_loss_final(is_new_epoch):
-            # Meanwhile this node began an epoch itself, or a loss was noticed: what was read is from before.
+            # This node began an epoch or detected a loss during the read, so the result is outdated.
             return
         if is_new_epoch:
             self._enter_epoch(record, item.mod_revision)
@@ -203,42 +206,45 @@
             self._notify_if_recovered()
 
     def _is_other_store(self, record: StoreEpochRecord, revision: Revision, known_record: StoreEpochRecord) -> bool:
-        """Whether the record shows a store that went back, or another one."""
+        """Return whether the record proves that the store went back to an earlier state or was replaced."""
         if record.number != known_record.number:
             return record.number < known_record.number
         return (record.unique_id, revision) != (known_record.unique_id, self.record_revision)
 
     def _is_loss_final(self, is_new_epoch: bool) -> bool:
-        """Lost within this epoch: only a new one ends that."""
+        """Return whether data was lost in the current epoch: only a new epoch ends that state."""
         return not is_new_epoch and self.is_lost()
 
     def _enter_epoch(self, record: StoreEpochRecord, revision: Revision) -> None:
         if self.record is not None:
             log.info("epoch_entered epoch=%d previous_epoch=%d", record.number, self.record.number)
             self._store.begin_epoch(revision)
-        # Set once all that requests ask for is read: a node that was ready earlier refused its first submission.
+        # Set only after the recovery's progress has been read, too: a node that was ready earlier rejected its first
+        # submission.
         self.record, self.record_revision = record, revision
 
     async def _check_minimum_position(self, epoch: int) -> None:
-        """At the start: a snapshot of later than what the store holds proves a loss that nobody noticed."""
+        """Report a loss that no node detected, at the start: a snapshot is newer than the store."""
         minimum_epoch, minimum_revision = self._minimum_position()
         if (minimum_epoch, minimum_revision) == (0, 0):
             return
         revision = (await self._store.list_page("", 1)).revision
         if (epoch, revision) < (minimum_epoch, minimum_revision):
             self.report_loss(
-                f"a snapshot has era {minimum_epoch}, revision {minimum_revision}; it is at {epoch}, {revision}", True
+                f"a snapshot has epoch {minimum_epoch}, revision {minimum_revision}; "
+                f"the store has epoch {epoch}, revision {revision}",
+                True,
             )
 
     def _notify_if_recovered(self) -> None:
-        """Once all that was known is back, replicas of before the loss are no longer needed."""
+        """Call `on_recovered` once all collected data is written back and pre-loss replicas are no longer needed."""
         if self.progress is None or self.progress.stage is RecoveryStage.SETTLING:
             self._on_recovered()
 
     # The first epoch
 
     async def _begin_first_epoch(self) -> None:
-        """The first epoch: of a new cluster, or of one whose store was written by an earlier version."""
+        """Store the record of the first epoch, of a new cluster or of one whose store an earlier version wrote."""
         record = StoreEpochRecord(0, uuid.uuid4().hex)
         try:
             self.record_revision = await self._store.transact_unguarded(
@@ -247,7 +253,7 @@
                 RequestPriority.LEADERSHIP,
             )
         except ConflictError:
-            # Another node's record, which the next refresh reads.
+            # Another node stored the record first; the next refresh reads it.
             return
         self.record, self.state = record, EpochState.INTACT
         self.is_new_cluster = await self._is_store_new()
@@ -256,28 +262,30 @@
         log.info("first_epoch_began is_new_cluster=%s", self.is_new_cluster)
 
     async def _is_store_new(self) -> bool:
-        # Users wait for a start: the store is listed only where the record was not its first change of all.
+        # Users wait while a node starts, so the store is listed only if the record is not its very first change.
         if self.record_revision == 1:
             return True
         page = await self._store.list_page("", len(NEW_CLUSTER_KEYS) + 1)
         return all(item.key in NEW_CLUSTER_KEYS for item in page.items)
 
     async def _verify_new_cluster(self) -> None:
-        """Tell a new cluster's empty store from one that has lost everything while nobody watched.
+        """Tell a new cluster's empty store from one that lost all its data while no node ran.
 
-        In the second case the cloud lists machines that are older than the epoch.
+        In the latter case the cloud lists machines that are older than the epoch.
         """
-        oldest_age_s = await self._oldest_rental_age()
+        oldest_age_s = await self._get_oldest_machine_age_s()
         if oldest_age_s is None:
             return
-        if oldest_age_s > self._clock.seconds() - self._epoch_began_at + RENTAL_AGE_MARGIN_S:
-            self.report_loss(f"it is empty, and the cloud lists a machine rented {oldest_age_s:.0f} s ago", True)
+        if oldest_age_s > self._clock.seconds() - self._epoch_began_at + MACHINE_AGE_MARGIN_S:
+            self.report_loss(
+                f"the store is empty, and the cloud lists a machine created {oldest_age_s:.0f} s ago", True
+            )
         self.is_new_cluster = False
 
-    # For a leader
+    # Methods for a leader
 
     def token_for_key(self, leader_revision: Revision) -> FencingToken | None:
-        """The token of the leader whose key has this revision; None where a new epoch must begin first."""
+        """Return the token of the leader whose key has this revision; None: a new epoch must begin first."""
         if self.state not in (EpochState.INTACT, EpochState.RECOVERING) or self.record is None:
             return None
         token = compose_token(self.record.number, leader_revision)
@@ -286,9 +294,10 @@
     async def begin_epoch(
         self, leader_key: str, leader_revision: Revision, highest_peer_epoch: int
     ) -> FencingToken | None:
-        """Begin a new epoch under this node's leader key; its tokens are higher than any seen.
+        """Begin a new epoch under this node's leader key and return the leader's token, above any token known so far.
 
-        None: another node has begun one, under which no token can be had. Raises what the store client raises.
+        Returns None if another node has begun an epoch in which this node gets no token. Raises the errors of the store
+        client.
         """
         item = await self._store.get(EPOCH_KEY, RequestPriority.LEADERSHIP)
         stored_epoch = decode_epoch_record(item.value).number if item is not None else 0
@@ -296,8 +305,8 @@
         if stored_epoch > known_epoch:
             await self.refresh()
             return self.token_for_key(leader_revision)
-        highest_seen = max(store_epoch_of(self.highest_token), self._minimum_position()[0])
-        epoch = max(known_epoch, highest_peer_epoch, highest_seen) + 1
+        highest_proven_epoch = max(store_epoch_of(self.highest_token), self._minimum_position()[0])
+        epoch = max(known_epoch, highest_peer_epoch, highest_proven_epoch) + 1
         record = StoreEpochRecord(epoch, uuid.uuid4().hex)
         progress = RecoveryProgress(epoch, RecoveryStage.OPEN_JOBS)
         stored_revision = item.mod_revision if item is not None else Revision(0)
@@ -310,42 +319,42 @@
         self.record, self.record_revision = record, revision
         self.progress, self._progress_revision = progress, revision
         self.state, self.is_new_cluster = EpochState.RECOVERING, False
-        log.info("epoch_began epoch=%d reason=%r", epoch, self.loss_reason or "a token from beyond the epoch before")
+        log.info("epoch_began epoch=%d reason=%r", epoch, self.loss_reason or "a token is ahead of the previous epoch")
         return compose_token(epoch, leader_revision)
 
     def progress_condition(self) -> Condition:
-        """The condition under which the recovery's progress is rewritten.
+        """Return the condition under which the recovery's progress is rewritten.
 
-        Without it a stage that was stored late, once all was settled, sent all users' requests to the leader for as
-        long as it led.
+        Without the condition, a write of an earlier stage that was applied after the end of the recovery made all nodes
+        forward users' requests to the leader until its term ended.
         """
         return Condition(RECOVERY_PROGRESS_KEY, self._progress_revision)
 
     def load_progress(self, item: Item | None) -> None:
-        """Take over the progress that the store holds."""
+        """Set the progress from the stored item; None: no recovery is in progress."""
         self.progress = decode_progress(item.value) if item is not None else None
         self._progress_revision = item.mod_revision if item is not None else Revision(0)
 
     def record_progress(self, progress: RecoveryProgress | None, revision: Revision) -> None:
-        """This node's own recovery stored its progress at this revision; None: it is over."""
+        """Set the progress that this node's own recovery stored at `revision`; None: the recovery is complete."""
         self._progress_revision = revision if progress is not None else Revision(0)
         self.progress = progress
         self.state = EpochState.INTACT if progress is None else EpochState.RECOVERING
         self._notify_if_recovered()
 
-    # For users' requests
+    # Methods for users' requests
 
     @property
     def stage(self) -> RecoveryStage | None:
-        """How far a recovery has come; None where there is none, or a loss stopped it."""
+        """Stage of the recovery; None if there is none, or if a further loss interrupted it."""
         return self.progress.stage if self.state is EpochState.RECOVERING and self.progress is not None else None
 
     def is_known(self) -> bool:
-        """Whether the epoch's record was read."""
+        """Return whether the epoch record has been read."""
         return self.record is not None
 
     def unavailable_reason(self) -> str | None:
-        """Why no request can be served now, or None."""
+        """Return why no request can be served now, as the text of the response; None: requests are served."""
         if self.state is EpochState.LOST:
             return "the state service has lost data; a rebuild is waited for"
         if self.state is EpochState.UNKNOWN:
@@ -353,12 +362,12 @@
         return "lost data is being written back" if self.stage is RecoveryStage.OPEN_JOBS else None
 
     def may_unknown_job_exist(self) -> bool:
-        """Whether a job that the store does not know may have been accepted all the same."""
+        """Return whether a job without a record in the store may nevertheless have been accepted."""
         progress = self.progress
         if self.stage is RecoveryStage.SETTLING and progress is not None and progress.settling_until is not None:
             return self._clock.seconds() < progress.settling_until
         return self.is_new_cluster or self.stage is not None
 
     def is_job_proven(self, job: str) -> bool:
-        """Whether the job's submission is lost, but machines had tasks of it."""
+        """Return whether the job's submission is lost, but tasks on machines prove that it was accepted."""
         return self.progress is not None and job in self.progress.proven_jobs
--- a/meadowcross/recovery/writeback.py
+++ b/meadowcross/recovery/writeback.py
@@ -1,8 +1,8 @@
-"""Writes back what a recovery collected, in the order in which it is needed, and stores how far it has come.
+"""Writes the collected state back to the store, the most urgent items first, and stores the recovery's progress.
 
-Every item is a write of the term's group commit: conditional on the leader's key, on the epoch, and on the revision
-that the store had when it was read. So the next leader continues a recovery that is killed at any step, and two that
-meet can't undo each other.
+Every item is a write of the term's group commit, conditional on the leader key, on the epoch, and on the revision that
+the key had when the store was read. The next leader can therefore continue a recovery that ended at any step, and two
+recoveries at a time can't undo each other's writes.
 """
 
 from __future__ import annotations
@@ -28,14 +28,15 @@
 log = get_logger("rebuild")
 
 LATE_POLL_INTERVAL_S: Seconds = 1.0
+"""Time between requests to peers whose replicas are still missing."""
 MAX_PENDING_ENDED_JOBS = 200
-"""So many ended jobs wait in the group commit at a time: what is decided meanwhile is written before the others."""
+"""Limit for ended jobs in the group commit, so that new writes of the term don't wait behind all of them."""
 OPEN_STATE_PREFIXES = (OPEN_PREFIX, MACHINE_KEY_PREFIX, CHUNK_PREFIX)
-"""What is written back first."""
+"""Prefixes of the keys that are written back first."""
 
 
 class WriteBack:
-    """Restores the store under one leader: open jobs, tasks and machines, then ended jobs."""
+    """Restores the store during one leader's term: open jobs, tasks and machines first, then ended jobs."""
 
     def __init__(
         self,
@@ -47,7 +48,11 @@
         on_open_jobs_restored: Callable[[], None],
         on_late_job: Callable[[str, Raw, Revision], None],
     ) -> None:
-        """`on_late_job` gets the key, record and revision of an open job that was found late, once it is stored."""
+        """Prepare the write-back of `merged`.
+
+        `on_open_jobs_restored` is called once all open jobs, tasks and machines are stored, and `on_late_job` with the
+        key, record and revision of each late job (an open job from a peer that was missing), once the job is stored.
+        """
         self._clock = clock
         self._merged = merged
         self._job_table = job_table
@@ -59,17 +64,18 @@
         self._is_stopped = False
         self._began_at = clock.seconds()
         self._pending_open: set[str] = set()
-        """Keys of the first stage that are not stored yet."""
+        """Keys of open jobs, tasks and machines that are not stored yet."""
         self._pending_ended: set[str] = set()
-        """Keys of ended jobs that wait in the group commit."""
+        """Keys of ended jobs that are in the group commit."""
         self._remaining_ended = {
             item.key: item for item in merged.missing_under("") if not item.key.startswith(OPEN_STATE_PREFIXES)
         }
 
     def begin(self) -> None:
-        """Write open jobs back first: nothing is placed of a job whose record is not stored.
+        """Enqueue the open state. Records of open jobs are urgent: no task is placed before its job's record is stored.
 
-        Users are asked to retry meanwhile, so more of the store's rate is used than by a leader otherwise.
+        Users' requests are rejected with a request to retry meanwhile, so the write-back may use more of the store's
+        request rate than a leader otherwise does.
         """
         self._recovery.prioritize(True)
         missing = [item for prefix in OPEN_STATE_PREFIXES for item in self._merged.missing_under(prefix)]
@@ -77,41 +83,43 @@
         self._pending_open = {item.key for item in missing}
         for item in missing:
             if not item.key.startswith(CHUNK_PREFIX):
-                # Machines are known to all who followed; 600 of them before the first placement cost 6 s.
+                # Machines are not urgent, as every follower's replica has them: writing 600 of them before the first
+                # placement took 6 s.
                 self._enqueue_item(item, is_urgent=item.key.startswith(OPEN_PREFIX))
         for key in self._merged.stale_keys():
             self._enqueue_deletion(key)
         for chunk in chunks:
             self._mark_chunk_dirty(chunk.key)
         self._advance()
-        if self._recovery.unanswered_peers:
-            log.info("recovery_peers_missing peers=%s", ",".join(sorted(self._recovery.unanswered_peers)))
+        if self._recovery.missing_peers:
+            log.info("recovery_peers_missing peers=%s", ",".join(sorted(self._recovery.missing_peers)))
             Deferred.fromCoroutine(self._collect_late())
 
     def stop(self) -> None:
-        """The term is over: ask no more peers."""
+        """Ask no further peers, at the end of the term."""
         self._is_stopped = True
 
     def on_stored(self, key: str) -> None:
-        """The key is in the store now, or deleted, whoever wrote it."""
+        """Handle the write or deletion of a key, by the write-back or by any other part of the term."""
         if key in self._pending_open or key in self._pending_ended:
             self._pending_open.discard(key)
             self._pending_ended.discard(key)
             self._advance()
 
-    # What is written
+    # Writes to the store
 
     def _enqueue_item(self, item: Item, is_urgent: bool) -> None:
         self._committer.enqueue(("back", item.key), lambda: self._build_write(item), is_urgent)
 
     def _build_write(self, item: Item) -> Write | None:
-        """The item's write as of now; None where it is not needed any more."""
+        """Return the write of an item, or None if it is no longer needed."""
         if item.key not in self._pending_open and item.key not in self._pending_ended:
             return None
         job_id = JobId(item.key.removeprefix(OPEN_PREFIX)) if item.key.startswith(OPEN_PREFIX) else None
         job = self._job_table.jobs.get(job_id) if job_id is not None else None
         if job is not None and job.is_ending:
-            # Over before its turn came: in one transaction with its end its record once stayed, open and ended.
+            # The job ended before this write. In one transaction with the job's end record, this write once left the
+            # open record in place, so that the job was both open and ended.
             return None
 
         def on_committed(revision: Revision) -> None:
@@ -122,7 +130,8 @@
 
         conditions = [Condition(item.key, item.mod_revision)]
         if job_id is not None:
-            # Stored late, once the job has ended, the key is absent again: such a job began anew.
+            # After the job's end its open key is absent again, as the first condition expects. A write that was
+            # applied that late restarted the job.
             conditions.append(Condition(ended_key(job_id), Revision(0)))
         return Write(conditions, [Put(item.key, item.value)], on_committed)
 
@@ -130,7 +139,7 @@
         self._committer.enqueue(("drop", key), lambda: Write([], [Delete(key)], _ignore_revision), False)
 
     def _mark_chunk_dirty(self, key: str) -> None:
-        """Let the job table write the chunk, as it stands when the chunk's turn has come."""
+        """Have the job table write the chunk, with the content that the chunk has at the time of the write."""
         job_id, chunk = parse_chunk_key(key)
         job = self._job_table.jobs.get(job_id)
         if job is None:
@@ -138,14 +147,14 @@
         else:
             self._job_table.mark_dirty(job, job.chunk_range(chunk).start, False)
 
-    # Peers that could not be asked before
+    # Replicas of missing peers
 
     async def _collect_late(self) -> None:
-        """Ask missing peers, which may know of ends and jobs that nobody else does.
+        """Request the replicas of missing peers, which may hold jobs and end records that no other source has.
 
-        Nothing is concluded before, for as long as the operators want to wait for lost jobs.
+        The recovery does not end before they all responded or the operators' waiting time for lost jobs is over.
         """
-        while self._recovery.unanswered_peers and not self._is_stopped and not self._has_waited_long_enough():
+        while self._recovery.missing_peers and not self._is_stopped and not self._is_wait_over():
             await pause(self._clock, LATE_POLL_INTERVAL_S)
             try:
                 merged = await self._recovery.collect_late()
@@ -167,19 +176,19 @@
             elif not item.key.startswith(OPEN_STATE_PREFIXES):
                 self._remaining_ended.setdefault(item.key, item)
 
-    def _has_waited_long_enough(self) -> bool:
+    def _is_wait_over(self) -> bool:
         wait_s = self._recovery.lost_jobs_wait_s
         return wait_s is not None and self._elapsed_s() > wait_s
 
     def _elapsed_s(self) -> Seconds:
         return self._clock.seconds() - self._began_at
 
-    # How far it has come
+    # Progress of the recovery
 
     def _advance(self) -> None:
         stage = self._store_epochs.stage
         if stage is RecoveryStage.OPEN_JOBS and not self._pending_open:
-            log.info("open_jobs_restored duration_s=%.2f", self._elapsed_s())
+            log.info("open_jobs_restored elapsed_s=%.2f", self._elapsed_s())
             self._store_stage(RecoveryStage.ENDED_JOBS, self._on_open_jobs_restored)
         elif stage is RecoveryStage.ENDED_JOBS:
             self._enqueue_ended_jobs()
@@ -195,16 +204,16 @@
     def _are_ended_jobs_restored(self) -> bool:
         if self._remaining_ended or self._pending_ended:
             return False
-        return not self._recovery.unanswered_peers or self._has_waited_long_enough()
+        return not self._recovery.missing_peers or self._is_wait_over()
 
     def _finish(self) -> None:
-        log.info("ended_jobs_restored duration_s=%.2f", self._elapsed_s())
+        log.info("ended_jobs_restored elapsed_s=%.2f", self._elapsed_s())
         self._recovery.prioritize(False)
-        is_all_known = self._merged.is_complete and self._recovery.have_all_peers_answered()
-        self._store_stage(None if is_all_known else RecoveryStage.SETTLING)
+        has_all_data = self._merged.is_complete and self._recovery.has_all_peer_replicas()
+        self._store_stage(None if has_all_data else RecoveryStage.SETTLING)
 
     def _store_stage(self, stage: RecoveryStage | None, on_stored: Callable[[], None] | None = None) -> None:
-        """Store that the recovery has reached a stage; None: it is over."""
+        """Store that the recovery has reached a stage; None: the recovery is complete."""
         progress = self._progress_at(stage)
 
         def on_committed(revision: Revision) -> None:
@@ -234,4 +243,4 @@
 
 
 def _ignore_revision(revision: Revision) -> None:
-    """Nothing is to be done once a key is deleted."""
+    """Do nothing after a deletion, whose revision is not used."""
--- a/meadowcross/snapshots/__init__.py
+++ b/meadowcross/snapshots/__init__.py
@@ -1,1 +1,1 @@
-"""Snapshots of the store as files: written by followers, read by a recovery and by operators."""
+"""Snapshots of the store as files, written by followers and read by a recovery or by operators."""
--- a/meadowcross/snapshots/cli.py
+++ b/meadowcross/snapshots/cli.py
@@ -1,6 +1,6 @@
-"""`meadowcross snapshot list`, `verify`, `restore`: what an operator needs when all nodes are gone too.
+"""Commands `meadowcross snapshot list`, `verify` and `restore`, for operators whose nodes lost their data as well.
 
-`meadowcross` imports this module at every start, so what a command needs is imported when it is carried out.
+`meadowcross` imports this module at every start, so each command imports the modules that it needs only when it runs.
 """
 
 from __future__ import annotations
@@ -18,25 +18,29 @@
 
 
 def add_subcommands(parser: argparse.ArgumentParser) -> None:
-    """Add `list`, `verify` and `restore`; each sets `act` to the function that carries it out."""
+    """Add the subcommands `list`, `verify` and `restore`; each sets `act` to the function that runs it."""
     subcommands = parser.add_subparsers(metavar="VERB", required=True)
-    listing = subcommands.add_parser(
+    list_parser = subcommands.add_parser(
         "list", help="the snapshots in a directory, newest first, and what is wrong with each"
     )
-    listing.set_defaults(act=_list)
-    verify = subcommands.add_parser("verify", help="read all of the newest chain; exit status 2 if anything is wrong")
-    verify.set_defaults(act=_verify)
-    restore = subcommands.add_parser(
+    list_parser.set_defaults(act=_list)
+    verify_parser = subcommands.add_parser(
+        "verify", help="read all of the newest chain; exit status 2 if anything is wrong"
+    )
+    verify_parser.set_defaults(act=_verify)
+    restore_parser = subcommands.add_parser(
         "restore", help="write it into a state service that lost its data, all nodes stopped"
     )
-    restore.add_argument("--config", metavar="FILE", required=True, help="the platform's settings of a node (TOML)")
-    restore.set_defaults(act=_restore)
-    for subcommand in (listing, verify, restore):
+    restore_parser.add_argument(
+        "--config", metavar="FILE", required=True, help="the platform's settings of a node (TOML)"
+    )
+    restore_parser.set_defaults(act=_restore)
+    for subcommand in (list_parser, verify_parser, restore_parser):
         subcommand.add_argument("--directory", metavar="DIR", required=True, help="where the snapshots are")
 
 
 def _fail(message: str) -> int:
-    """Print one line on standard error; returns the exit status."""
+    """Print one line on standard error and return the exit status for failures."""
     print(f"{PROGRAM}: {message}", file=sys.stderr)
     return FAILURE_STATUS
 
@@ -67,7 +71,7 @@
 
 
 def _read_newest(options: argparse.Namespace) -> ReadResult:
-    """What the directory gives; what could not be used is reported on standard error."""
+    """Read the newest usable state in the directory and report unusable snapshots on standard error."""
     from meadowcross.snapshots.files import read_newest
 
     result = read_newest(options.directory)
--- a/meadowcross/snapshots/files.py
+++ b/meadowcross/snapshots/files.py
@@ -1,8 +1,8 @@
-"""Snapshots as files: a full one, changes after it, each with a manifest that is written last.
+"""Snapshot files: a full snapshot and the changes after it, each a data file with a manifest that is written last.
 
-A data file holds one JSON line a key, compressed with gzip. Its manifest holds its kind, length and SHA-256. Both are
-written under a temporary name, flushed to the disk and renamed, so a manifest that exists has all of its data. A
-snapshot that can't be used is reported with the reason, and the one before it is taken.
+A data file holds one JSON line per key, compressed with gzip; its manifest holds its kind, length and SHA-256. Both are
+written under a temporary name, flushed to the disk and renamed, so a manifest exists only if its data file is whole. A
+reader reports an unusable snapshot with the reason and uses the previous one instead.
 """
 
 from __future__ import annotations
@@ -31,57 +31,57 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotHeader:
-    """What the writer of a snapshot states about it."""
+    """Origin of a snapshot: the node, the time, and the range of revisions."""
 
     epoch: int
     revision: Revision
     base_revision: Revision
-    """Only the changes since that revision are in the snapshot; 0: it is a full one."""
+    """The snapshot holds the changes after this revision; 0: a full snapshot."""
     node: NodeName
     written_at: float
-    """Time of day, in seconds."""
+    """Seconds of the time of day."""
 
 
 class Manifest(Struct):
-    """What a data file is, as stored beside it."""
+    """Description of a data file, stored in a file beside it."""
 
     kind: str
     format: int
     epoch: int = field(name="era")
     revision: Revision
     base_revision: Revision = field(name="after")
-    """Only the changes since that revision are in the data file; 0: it is a full one."""
+    """The data file holds the changes after this revision; 0: a full snapshot."""
     key_count: int = field(name="keys")
     size_bytes: int = field(name="size")
     sha256: str
     node: NodeName
     written_at: float = field(name="at")
-    """Time of day, in seconds, for people and for the bound on age."""
+    """Seconds of the time of day, shown to operators and compared with the maximum age."""
 
     @property
     def is_full(self) -> bool:
-        """Whether the snapshot holds everything, not only changes."""
+        """Whether the snapshot holds all keys, not only changes."""
         return self.base_revision == 0
 
 
 class SnapshotEntry(Struct, array_like=True):
-    """One key, with its revision and value, or that it was dropped."""
+    """One key with its revision and value, or the deletion of a key."""
 
     key: str
     revision: Revision = field(name="mark")
     value: Raw = Raw(b"null")
-    is_dropped: bool = field(name="dropped", default=False)
+    is_deleted: bool = field(name="dropped", default=False)
 
 
 class UnusableSnapshotError(Exception):
-    """A snapshot can't be used; the message names it and the reason."""
+    """A snapshot can't be used. The message has the snapshot's name and the reason."""
 
     def __init__(self, name: str, reason: str) -> None:
         super().__init__(f"{name}: {reason}")
 
 
 class SnapshotTooLargeError(OSError):
-    """A snapshot would take more than is allowed; nothing of it is written."""
+    """The compressed data of a snapshot would exceed the limit; nothing is written."""
 
     def __init__(self, name: str, size_bytes: int, max_bytes: int) -> None:
         super().__init__(f"{name}: {size_bytes} bytes, at most {max_bytes} are allowed")
@@ -92,27 +92,28 @@
 
     name: str
     manifest: Manifest | None
-    """None where it could not be read."""
+    """None if the manifest could not be read."""
     defect: str | None
-    """Why it can't be used; None where nothing is known against it."""
+    """Why the snapshot can't be used; None if its manifest and length are correct."""
 
 
 class UsableSnapshot(NamedTuple):
-    """A snapshot whose manifest and length are good; its content is not checked yet."""
+    """A snapshot whose manifest and length are correct; its content is not checked yet."""
 
     name: str
     manifest: Manifest
 
 
 class ReadResult(NamedTuple):
-    """What a directory gives: the newest state that can be used, and why others on the way could not."""
+    """The newest usable state in a directory, and the reasons why snapshots were rejected."""
 
     source: RecoverySource | None
+    """None if the directory has no usable full snapshot."""
     rejections: list[str]
 
 
 def snapshot_name(epoch: int, revision: int, base_revision: int) -> str:
-    """The name of a snapshot's files, without suffix; names sort by epoch and revision."""
+    """Return the name of a snapshot's files without suffix. Names sort by epoch and revision."""
     kind = "full" if base_revision == 0 else f"changes-{base_revision:012d}"
     return f"{epoch:06d}-{revision:012d}-{kind}"
 
@@ -120,10 +121,10 @@
 def write_snapshot(
     directory: str, header: SnapshotHeader, entries: Sequence[SnapshotEntry], max_bytes: int
 ) -> Manifest:
-    """Write the data file, then its manifest, which is returned.
+    """Write the data file, then its manifest, and return the manifest.
 
-    Raises OSError, as SnapshotTooLargeError where the data would take more than `max_bytes`; no partial file stays
-    behind.
+    Raises OSError, or its subclass SnapshotTooLargeError if the compressed data exceeds `max_bytes`. No partial file
+    remains.
     """
     name = snapshot_name(header.epoch, header.revision, header.base_revision)
     content = _compress(entries)
@@ -150,7 +151,7 @@
 def _compress(entries: Iterable[SnapshotEntry]) -> bytes:
     encode = msgspec.json.Encoder().encode
     lines = b"".join(encode(entry) + b"\n" for entry in entries)
-    # Without a time in the header, so that equal entries give equal files.
+    # mtime=0 leaves the time out of the gzip header, so that equal entries give equal files.
     return gzip.compress(lines, COMPRESSION_LEVEL, mtime=0)
 
 
@@ -175,7 +176,10 @@
 
 
 def list_snapshots(directory: str) -> list[SnapshotInfo]:
-    """All snapshots there, newest first, judged by their manifests and lengths alone. Raises OSError."""
+    """Return all snapshots in a directory, newest first, with the defects of their manifests and lengths.
+
+    The content of the data files is not read. Raises OSError.
+    """
     names = sorted((name for name in os.listdir(directory) if name.endswith(MANIFEST_SUFFIX)), reverse=True)
     return [_inspect(directory, name.removesuffix(MANIFEST_SUFFIX)) for name in names]
 
@@ -216,7 +220,7 @@
 
 
 def read_entries(directory: str, snapshot: UsableSnapshot) -> Iterator[SnapshotEntry]:
-    """All entries of a snapshot. Raises UnusableSnapshotError, also after some entries."""
+    """Yield all entries of a snapshot. Raises UnusableSnapshotError, possibly after some entries were yielded."""
     try:
         with open(os.path.join(directory, snapshot.name + DATA_SUFFIX), "rb") as file:
             content = file.read()
@@ -233,7 +237,7 @@
 
 
 def read_newest(directory: str) -> ReadResult:
-    """The newest full snapshot that can be used, with the unbroken chain of changes after it."""
+    """Read the newest usable full snapshot and the unbroken chain of changes after it."""
     try:
         snapshots = list_snapshots(directory)
     except OSError as error:
@@ -262,19 +266,19 @@
     items: dict[str, Item],
     rejections: list[str],
 ) -> Revision:
-    """Apply the changes after a full snapshot to its items, up to the first that is broken.
+    """Apply the changes after a full snapshot to `items`, up to the first change that can't be read.
 
-    Returns the revision that the items have then.
+    Returns the revision of the items after the last change applied.
     """
     epoch, revision = full.manifest.epoch, full.manifest.revision
     for change in reversed(usable):
         if (change.manifest.epoch, change.manifest.base_revision) != (epoch, revision):
             continue
         try:
-            # Read whole before any of it is applied.
+            # All entries are read before the first one is applied, so that a broken file changes nothing.
             entries = list(read_entries(directory, change))
         except UnusableSnapshotError as error:
-            # Later changes build on this one.
+            # Later changes build on this one, so the chain ends here.
             rejections.append(str(error))
             break
         _apply_entries(items, entries)
@@ -284,16 +288,16 @@
 
 def _apply_entries(items: dict[str, Item], entries: Iterable[SnapshotEntry]) -> None:
     for entry in entries:
-        if entry.is_dropped:
+        if entry.is_deleted:
             items.pop(entry.key, None)
         else:
             items[entry.key] = Item(entry.key, Raw(bytes(entry.value)), entry.revision)
 
 
 def remove_old_snapshots(directory: str, keep_count: int, oldest_at: float) -> int:
-    """Remove whole chains: those beyond the newest `keep_count` full snapshots, and those written before `oldest_at`.
+    """Remove each chain beyond the newest `keep_count` ones, and each whose full snapshot is older than `oldest_at`.
 
-    The newest usable full snapshot always stays. Returns how many snapshots were removed; raises OSError.
+    The newest usable full snapshot always stays. Returns the number of snapshots removed. Raises OSError.
     """
     snapshots = list_snapshots(directory)
     full_snapshots = [snapshot for snapshot in _select_usable(snapshots) if snapshot.manifest.is_full]
@@ -304,7 +308,7 @@
     ]
     if not kept:
         return 0
-    # Whatever is older than the last full snapshot that stays belongs to chains that go.
+    # All snapshots older than the oldest full snapshot that is kept belong to removed chains.
     outdated = [snapshot.name for snapshot in snapshots if snapshot.name < kept[-1]]
     for name in outdated:
         _remove(directory, name)
--- a/meadowcross/snapshots/restore.py
+++ b/meadowcross/snapshots/restore.py
@@ -1,4 +1,4 @@
-"""Writes a snapshot back into a store that has lost its data, while no node runs."""
+"""Writes a snapshot into a store that has lost its data, while no node runs."""
 
 from __future__ import annotations
 
@@ -21,16 +21,17 @@
 from meadowcross.store.token_bucket import RequestPriority
 
 MAX_BATCH_BYTES = 48 * 1024
-"""Of one transaction, with room to spare."""
+"""Limit for the items of one transaction, well below what the store accepts."""
 ITEM_OVERHEAD_BYTES = 60
-"""Of an item in a transaction beside its key and value, about."""
+"""Approximate encoded size of an item in a transaction, without its key and value."""
 NO_LEADER = Condition(LEADER_KEY, Revision(0))
+"""Holds while no node leads: the leader key does not exist."""
 
 
 async def restore(store: StoreClient, source: RecoverySource) -> None:
-    """Begin a new epoch, and write in it all that the snapshot has and the store lacks or has older.
+    """Begin a new epoch and write each item of the snapshot that the store lacks or holds in an older revision.
 
-    Raises ConflictError where a node leads, or something else writes; run again, it goes on where it stopped.
+    Raises ConflictError if a node leads or another client writes. A repeated call continues where this one stopped.
     """
     stored_items, _ = await store.list_items("")
     record, epoch_revision = await _begin_epoch(store, stored_items, source.epoch)
@@ -40,14 +41,14 @@
         conditions = [Condition(item.key, item.mod_revision) for item in batch]
         changes = [Put(item.key, item.value) for item in batch]
         await store.transact_unguarded([*epoch_conditions, *conditions], changes, RequestPriority.USER)
-    # What is newer than the snapshot only machines and users know: the nodes ask them before they place.
+    # Changes newer than the snapshot are known only to machines and users. The nodes collect them before placement.
     print(f"era {record.number}: {len(missing)} keys of {source.name} written; start the nodes now")
 
 
 async def _begin_epoch(
     store: StoreClient, stored_items: Sequence[Item], source_epoch: int
 ) -> tuple[StoreEpochRecord, Revision]:
-    """Store the record of an epoch above all known ones; the record and its revision."""
+    """Store the record of an epoch above all known ones, and return the record and its revision."""
     epoch_item = next((item for item in stored_items if item.key == EPOCH_KEY), None)
     known_epoch = decode_epoch_record(epoch_item.value).number if epoch_item is not None else 0
     known_revision = epoch_item.mod_revision if epoch_item is not None else Revision(0)
@@ -62,7 +63,7 @@
 
 
 def _batches(items: Iterable[Item], max_items: int) -> Iterator[list[Item]]:
-    """The items, as many at a time as fit one transaction."""
+    """Yield the items in batches that fit into one transaction each."""
     batch: list[Item] = []
     batch_bytes = 0
     for item in items:
--- a/meadowcross/snapshots/writer.py
+++ b/meadowcross/snapshots/writer.py
@@ -1,7 +1,7 @@
-"""Writes snapshots of a follower's replica of the store, off the reactor thread; never on a node that leads.
+"""Writes snapshots of a follower's replica of the store, off the reactor thread and never on the leader.
 
-Between two polls of the feed the replica is complete up to one revision, so each snapshot is of one moment. A disk
-that is full or slow stops snapshots, with one line in the log, and nothing else.
+Between two polls of the feed the replica is complete up to one revision, so each snapshot is consistent. A full or slow
+disk stops only the snapshots, with one line in the log.
 """
 
 from __future__ import annotations
@@ -27,9 +27,11 @@
 log = get_logger("snapshots")
 
 MAX_CHAIN_LENGTH = 10
-"""So many changes may follow a full snapshot: a chain is read as a whole, and breaks as one."""
+"""Limit for the changes after a full snapshot: one broken change makes all later ones of its chain unusable."""
 MAX_SNAPSHOT_BYTES = 256 * 2**20
+"""Limit for the compressed data of one snapshot."""
 POLL_INTERVAL_S: Seconds = 1.0
+"""Time between checks whether a snapshot is due."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,23 +41,25 @@
     directory: str
     interval_s: Seconds
     keep_count: int
-    """How many full snapshots stay, with their changes."""
+    """Number of full snapshots that are kept, with their changes."""
     keep_duration_s: Seconds
+    """Age above which a chain is removed."""
 
 
 @dataclass(frozen=True, slots=True)
 class _LastSnapshot:
-    """The newest snapshot written, on which the next one builds."""
+    """The newest written snapshot, on which the next one builds."""
 
     epoch: int
     revision: Revision
     chain_length: int
-    """Changes written since the full snapshot."""
+    """Number of snapshots after the full one of the same chain."""
     key_revisions: dict[str, Revision]
+    """Revision of each key at the snapshot."""
 
 
 class SnapshotWriter:
-    """Writes a snapshot at each interval, as long as the follower is in sync."""
+    """Writes a snapshot at each interval while the follower is in sync."""
 
     def __init__(
         self,
@@ -65,7 +69,7 @@
         current_epoch: Callable[[], int | None],
         settings: SnapshotSettings,
     ) -> None:
-        """`current_epoch` returns None while the store can't be relied on; nothing is written then."""
+        """`current_epoch` returns None while the store can't be relied on; no snapshot is written then."""
         self._clock = clock
         self._follower = follower
         self._node = node
@@ -74,10 +78,10 @@
         self._last: _LastSnapshot | None = None
         """None: the next snapshot must be a full one."""
         self._failure_count = 0
-        """Snapshots that failed in a row."""
+        """Number of consecutive failures."""
 
     async def run(self) -> None:
-        """Write snapshots for ever."""
+        """Write a snapshot whenever one is due, without end. Errors are logged."""
         due_at = Instant(self._clock.seconds())
         while True:
             await pause(self._clock, POLL_INTERVAL_S)
@@ -94,11 +98,11 @@
         except OSError as error:
             self._last = None
             if not self._failure_count:
-                # A full disk is one line, not a traceback.
+                # A full disk is expected, so only its first failure is logged, without a traceback.
                 log.error("snapshot_failed directory=%s error=%s", self._settings.directory, error)
             self._failure_count += 1
         except Exception:
-            # The loop goes on; the next snapshot is a full one.
+            # An unexpected error must not end the loop; the next snapshot is a full one.
             self._last = None
             log.exception("snapshot_error")
         else:
@@ -126,14 +130,14 @@
             await self._in_thread(remove_old_snapshots, self._settings.directory, self._settings.keep_count, oldest_at)
 
     def _find_base(self, epoch: int, revision: Revision) -> _LastSnapshot | None:
-        """The snapshot on which one of this revision may build; None: a full one is due."""
+        """Return the snapshot on which one at this revision may build; None: a full snapshot is due."""
         last = self._last
         if last is None or last.epoch != epoch or last.revision > revision:
             return None
         return last if last.chain_length < MAX_CHAIN_LENGTH else None
 
     async def _in_thread(self, function: Callable[..., Any], *arguments: Any) -> Any:
-        """Run a blocking function off the reactor thread; in simulated time, which has no threads, at once."""
+        """Run a blocking function in the reactor's thread pool, or directly on a simulated clock without one."""
         reactor: Any = self._clock
         if not hasattr(reactor, "getThreadPool"):
             return function(*arguments)
@@ -145,9 +149,9 @@
 
 
 def _changed_entries(items: Sequence[Item], base: _LastSnapshot, revision: Revision) -> list[SnapshotEntry]:
-    """What was written or dropped since the base."""
-    known = base.key_revisions
-    written = [item for item in items if known.get(item.key) != item.mod_revision]
+    """Return the entries of all keys that were written or deleted since the base."""
+    base_revisions = base.key_revisions
+    written_items = [item for item in items if base_revisions.get(item.key) != item.mod_revision]
     present_keys = {item.key for item in items}
-    dropped_keys = [key for key in known if key not in present_keys]
-    return _full_entries(written) + [SnapshotEntry(key, revision, is_dropped=True) for key in dropped_keys]
+    deleted_keys = [key for key in base_revisions if key not in present_keys]
+    return _full_entries(written_items) + [SnapshotEntry(key, revision, is_deleted=True) for key in deleted_keys]
