--- a/meadowcross/__main__.py
+++ b/meadowcross/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m meadowcross` is the command `meadowcross`."""
+"""Makes `python3 -m meadowcross` run the command `meadowcross`."""
 
 import sys
 
--- a/meadowcross/cli.py
+++ b/meadowcross/cli.py
@@ -1,4 +1,4 @@
-"""The command `meadowcross`: every part of the project that is run by hand."""
+"""The command `meadowcross`: one command line for the controller, the ticket gateway and the operators' tools."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from meadowcross.snapshots import cli as snapshots
 
 Command = Callable[[argparse.Namespace], int]
-"""Carries a command out; returns the exit status."""
+"""Runs a command with its parsed options and returns the exit status."""
 
 EXIT_OK, EXIT_USAGE = 0, 2
 
 
 class OneLineErrorParser(argparse.ArgumentParser):
-    """Says what is wrong in one line; the usage is there on request."""
+    """Reports wrong arguments in one line, without the usage text."""
 
     def error(self, message: str) -> NoReturn:
         """Print the message and exit with status 2."""
@@ -29,10 +29,10 @@
 
 
 def build_parser() -> OneLineErrorParser:
-    """All commands, each with its own options; what a command needs is imported when it is carried out."""
-    options = OneLineErrorParser(prog="meadowcross", description="A cluster scheduler.")
-    options.add_argument("--version", action="version", version=f"meadowcross {meadowcross.__version__}")
-    commands = options.add_subparsers(metavar="COMMAND", required=True)
+    """Return the parser of all commands, each with its own options."""
+    parser = OneLineErrorParser(prog="meadowcross", description="A cluster scheduler.")
+    parser.add_argument("--version", action="version", version=f"meadowcross {meadowcross.__version__}")
+    commands = parser.add_subparsers(metavar="COMMAND", required=True)
     run = commands.add_parser("run", help="run a controller node; the options of run.py", add_help=False)
     run.set_defaults(act=_run)
     estimates.add(commands.add_parser("estimates", help="learned run times: replay, show, reset"))
@@ -42,29 +42,32 @@
     tickets.add(commands.add_parser("ticket", help="render-farm job tickets: check, explain, submit, status, cancel"))
     tickets.add_keys(commands.add_parser("keys", help="a site's own authority: init, issue, list, revoke"))
     tickets.add_service(commands.add_parser("tickets", help="the ticket gateway: serve"))
-    return options
+    return parser
 
 
 def _run(options: argparse.Namespace) -> int:
-    # What a command needs is imported when it is carried out.
+    # Imported here so that the other commands start without loading the controller.
     from meadowcross.controller import main as controller_main  # noqa: PLC0415
 
-    return controller_main.main(options.rest, "meadowcross run")
+    return controller_main.main(options.controller_arguments, "meadowcross run")
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Exit status: 0, or 2 with one line on standard error that says what is wrong."""
+    """Run the command in `arguments` (default: those of the process) and return the exit status.
+
+    The status is 0, or 2 with one line on standard error that describes the failure.
+    """
     argv = list(sys.argv[1:] if arguments is None else arguments)
-    options, rest = build_parser().parse_known_args(argv)
+    options, unknown_arguments = build_parser().parse_known_args(argv)
     command: Command = options.act
     if command is _run:
-        options.rest = argv[argv.index("run") + 1 :]
-    elif rest:
-        print(f"meadowcross: unknown arguments: {' '.join(rest)}", file=sys.stderr)
+        options.controller_arguments = argv[argv.index("run") + 1 :]
+    elif unknown_arguments:
+        print(f"meadowcross: unknown arguments: {' '.join(unknown_arguments)}", file=sys.stderr)
         return EXIT_USAGE
     try:
         return command(options)
     except BrokenPipeError:
-        # Whoever read our output has seen enough; nothing more is written, at exit neither.
+        # The reader closed the pipe. Redirecting standard output also keeps the flush at exit from failing.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return EXIT_OK
--- a/meadowcross/controller/__init__.py
+++ b/meadowcross/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One controller process: its parts built, connected, started and stopped."""
+"""The controller process: builds, connects, starts and stops its parts."""
--- a/meadowcross/controller/assembly.py
+++ b/meadowcross/controller/assembly.py
@@ -1,6 +1,7 @@
 """Builds the parts of a controller and connects them.
 
-Parts that need each other get their listeners once both stand; nobody is asked anything before they are started.
+Two parts that need each other are built first and then connected by a listener. No part sends a request before the
+controller starts it.
 """
 
 from __future__ import annotations
@@ -45,33 +46,34 @@
 from meadowcross.workers.heartbeat_tracker import HeartbeatTracker, silence_window
 
 DEFAULT_MEMORY_MB = 256.0
-"""Where the platform names no limit."""
+"""Memory limit of the process that is assumed if the platform's settings have none."""
 REPLICA_MEMORY_SHARE = 1 / 4
+"""Share of the process's memory that the replica of the store may use."""
 STANDBY_FOLLOWS, STANDBY_DETECTS_FAILURES = 1, 2
 """Values of the setting `warm_standby`."""
 
 
 class EndedJobFeed:
-    """Tells of jobs whose end is in the replica: the follower is built before whoever listens."""
+    """Passes ended jobs in the replica to a listener that is built after the follower."""
 
     def __init__(self) -> None:
         self._listener: Callable[[str, Raw], None]
 
     def subscribe(self, listener: Callable[[str, Raw], None]) -> None:
-        """Once, before the follower runs. The listener takes the stored key and its value."""
+        """Set the listener, which takes the stored key and its value. Called once, before the follower runs."""
         self._listener = listener
 
     def publish(self, key: str, value: Raw) -> None:
-        """The follower has seen this record, or written it."""
+        """Pass on the end record of a job that the follower received or wrote."""
         self._listener(key, value)
 
 
 @dataclass(frozen=True)
 class StoreView:
-    """The store as this node sees it."""
+    """This node's view of the store: its replica, the store's epoch, and the snapshots."""
 
     follower: ReplicaFollower | None
-    """None where the operators want no replica of the store."""
+    """None if the setting `warm_standby` turns the replica off."""
     store_epochs: StoreEpochs
     loss_handler: DataLossHandler
     snapshots: SnapshotReader
@@ -80,7 +82,7 @@
 
 @dataclass(frozen=True)
 class Cluster:
-    """The peers, and who leads."""
+    """The parts that deal with peers and with the election."""
 
     link: PeerLink
     election: Election
@@ -88,12 +90,12 @@
     workers: HeartbeatTracker
     view: ClusterView
     failure_detector: LeaderFailureDetector | None
-    """None where the operators let a dead leader's lease run out."""
+    """None if the setting `warm_standby` leaves a failed leader's lease to expire."""
 
 
 @dataclass(frozen=True)
 class Leadership:
-    """This node's own terms, and its part in another leader's."""
+    """The parts for this node's own terms, and for its role as a follower of another leader."""
 
     terms: CurrentTerm
     term_manager: TermManager
@@ -104,7 +106,7 @@
 
 @dataclass(frozen=True)
 class Parts:
-    """All parts of a controller, connected."""
+    """All connected parts of a controller."""
 
     store_view: StoreView
     cluster: Cluster
@@ -132,7 +134,7 @@
 
 
 def build_store_view(services: Services) -> StoreView:
-    """The loss handler is not connected yet, and nobody listens for ended jobs."""
+    """Build the view of the store. Its loss handler is not connected yet, and its ended jobs have no listener yet."""
     ended_jobs = EndedJobFeed()
     follower = None
     if services.operator.warm_standby >= STANDBY_FOLLOWS:
@@ -153,14 +155,14 @@
 
 
 def replica_size_limit(settings: Settings) -> int:
-    """In bytes: a quarter of what the process may hold, or as much as seems small anywhere."""
+    """Return the replica's limit in bytes: a quarter of the process's memory limit, or of DEFAULT_MEMORY_MB."""
     limits = settings.facts.machine_limits
     memory_mb = limits.mem_mb if limits is not None else DEFAULT_MEMORY_MB
     return int(memory_mb * REPLICA_MEMORY_SHARE * 2**20)
 
 
 def build_cluster(services: Services, store_view: StoreView) -> Cluster:
-    """The election and the link have no listeners yet."""
+    """Build the parts for peers and the election. The election and the peer link have no listeners yet."""
     reactor, settings = services.reactor, services.settings
     link = PeerLink(reactor, settings.peers)
     election = Election(
@@ -190,7 +192,7 @@
 
 
 def build_leadership(services: Services, store_view: StoreView, cluster: Cluster) -> Leadership:
-    """What begins a term needs all the rest."""
+    """Build the parts that run this node's terms. A term uses nearly all other parts."""
     reactor, link, follower = services.reactor, cluster.link, store_view.follower
     terms = CurrentTerm()
     cancellations = CancellationBroadcast(
@@ -219,7 +221,7 @@
 
 
 def build_job_api(services: Services, store_view: StoreView, cluster: Cluster, leadership: Leadership) -> JobApi:
-    """What users ask of this node."""
+    """Build the API for users."""
     facts, link, follower, terms = services.settings.facts, cluster.link, store_view.follower, leadership.terms
     peers = RequestPeers(store_view.store_epochs, follower, cluster.election, link, terms, cluster.leaders)
     events = JobEvents(
@@ -239,7 +241,7 @@
 
 
 def build_worker_api(store_view: StoreView, cluster: Cluster, leadership: Leadership) -> WorkerApi:
-    """What workers ask of this node."""
+    """Build the API for workers."""
     return WorkerApi(
         leadership.terms.heartbeat_handler,
         cluster.leaders.redirect_target,
@@ -252,7 +254,7 @@
 def build_peer_listeners(
     services: Services, store_view: StoreView, cluster: Cluster, leadership: Leadership, job_api: JobApi
 ) -> PeerListeners:
-    """What peers ask of this node, and tell it."""
+    """Build the handlers of peers' messages and requests."""
     election, epochs, follower, relay = (
         cluster.election,
         store_view.store_epochs,
@@ -272,7 +274,7 @@
 def build_auditor(
     services: Services, store_view: StoreView, cluster: Cluster, terms: CurrentTerm
 ) -> StoreAuditor | None:
-    """None where there is no replica to compare the store with."""
+    """Build the store auditor; None if there is no replica to compare the store with."""
     if store_view.follower is None:
         return None
     turn = AuditTurn(services.node, cluster.link.status, terms)
--- a/meadowcross/controller/controller.py
+++ b/meadowcross/controller/controller.py
@@ -1,4 +1,4 @@
-"""One controller process: built, started and stopped."""
+"""The controller: builds its parts, starts them, and transfers the leadership before it stops."""
 
 from __future__ import annotations
 
@@ -21,7 +21,9 @@
     from meadowcross.leadership.term import LeaderTerm
 
 PRELOAD_DELAY_S: Seconds = 4.0
+"""Time from the start until the modules of a leader are imported."""
 LISTEN_BACKLOG = 512
+"""Length of the queue for connections that are not accepted yet."""
 SECONDS_PER_HOUR = 3600.0
 
 
@@ -45,15 +47,15 @@
 
     @property
     def term(self) -> LeaderTerm | None:
-        """This node's latest term, also once it is over."""
+        """This node's latest term, which may be over; None before the first one."""
         return self._terms.latest
 
     async def transfer_leadership(self, reason: str) -> None:
-        """Stop leading before this process ends, in one step with the start of a peer's term where one is ready."""
+        """Stop leading, for example before the process ends; a peer that is ready takes over in the same step."""
         await self.election.transfer_leadership(reason)
 
     def start(self) -> None:
-        """Listen, connect to the peers, and begin all that goes on until the process ends."""
+        """Listen, connect to the peers, and start all loops, which run until the process ends."""
         services, settings = self.services, self.services.settings
         self._listen()
         self.peer_link.start(services.reactor, settings.peer_bind)
@@ -82,7 +84,10 @@
         loop.start(interval_s, now=False)
 
     def _preload_leader_modules(self) -> None:
-        """Load what only a leader needs while nothing is urgent: users wait for a start, and it took a fifth of one."""
+        """Import the modules that only a leader needs, once the start is over.
+
+        Users wait while a node starts, and these imports took a fifth of the start-up time.
+        """
         import meadowcross.leadership.term  # noqa: PLC0415
 
         if self.services.operator.learned_estimates >= 1:
@@ -90,7 +95,7 @@
             import meadowcross.leadership.completion_forecaster  # noqa: F401, PLC0415
 
     def _start_snapshot_writer(self, follower: ReplicaFollower) -> None:
-        # Only where operators name a directory: a start's time is counted.
+        # Imported only if a snapshot directory is set, to keep the start-up time short.
         from meadowcross.snapshots.writer import SnapshotSettings, SnapshotWriter  # noqa: PLC0415
 
         operator = self.services.operator
@@ -109,6 +114,6 @@
         Deferred.fromCoroutine(writer.run())
 
     def _intact_epoch(self) -> int | None:
-        """The number of the store's epoch; None while it is not known, or lost data is written back."""
+        """Return the number of the store's epoch; None while it is not known or lost data is written back."""
         record = self.store_epochs.record
         return record.number if record is not None and self.store_epochs.stage is None else None
--- a/meadowcross/controller/leadership.py
+++ b/meadowcross/controller/leadership.py
@@ -1,4 +1,4 @@
-"""Who leads, and what this node does while it does: begin and end of a term, and its transfer to a peer."""
+"""The known leader, and this node's own terms: their begin, their end and the leadership transfer to a peer."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class LeaderDirectory:
-    """Who leads, as far as this node knows."""
+    """Finds out which node leads."""
 
     def __init__(self, node: NodeName, election: Election, peers: PeerStatus) -> None:
         self._node = node
@@ -35,44 +35,50 @@
         self._peers = peers
 
     def known_leader(self) -> tuple[NodeName, FencingToken] | None:
-        """By the key as last read or by the peers' heartbeats, whichever is newer: a node that the store refuses still
-        learns of a new leader."""
+        """Return the leader's name and token, or None if no leader is known.
+
+        The newer one of the leader key as last read and of the peers' heartbeats counts, so that a node without access
+        to the store still learns of a new leader.
+        """
         leaders = [leader for leader in (self._election.leader, self._peers.reported_leader()) if leader is not None]
         return max(leaders, key=lambda leader: leader[1], default=None)
 
     def redirect_target(self) -> NodeName | None:
-        """Where to send a worker. Naming ourselves, or nobody, sends it on to the next node."""
+        """Return the node to which a worker is redirected; None if the leader is unknown or is this node.
+
+        Without a target the worker tries the next node.
+        """
         leader = self.known_leader()
         return leader[0] if leader is not None and leader[0] != self._node else None
 
 
 class CurrentTerm:
-    """This node's own term, and what others ask of it."""
+    """Gives access to this node's own term."""
 
     def __init__(self) -> None:
         self.latest: LeaderTerm | None = None
-        """Also once it is over."""
+        """The latest term, which may be over; None before the first one."""
 
     def active(self) -> LeaderTerm | None:
-        """The term, while this node leads."""
+        """Return the term while this node leads, otherwise None."""
         return self.latest if self.latest is not None and not self.latest.stopped else None
 
     def heartbeat_handler(self) -> HandleHeartbeat | None:
-        """What takes workers' heartbeats, while this node leads."""
+        """Return the handler of workers' heartbeats while this node leads, otherwise None."""
         term = self.active()
         return term.handle_heartbeat if term is not None else None
 
     def progress_of(self, job: JobId) -> JobProgress | None:
-        """A job's counts, where this node leads and knows the job."""
+        """Return a job's progress; None if this node does not lead or has no such open job."""
         term = self.active()
-        known = term.job_table.jobs.get(job) if term is not None else None
-        if term is None or known is None:
+        known_job = term.job_table.jobs.get(job) if term is not None else None
+        if term is None or known_job is None:
             return None
-        return JobProgress(known.done_count, known.running_count(), term.forecast(job))
+        return JobProgress(known_job.done_count, known_job.running_count(), term.forecast(job))
 
 
 class ProgressQuery:
-    """A job's progress, from this node's own term or from the leader."""
+    """Reads a job's progress from this node's own term or requests it from the leader."""
 
     def __init__(self, terms: CurrentTerm, leaders: LeaderDirectory, link: PeerLink) -> None:
         self._terms = terms
@@ -80,7 +86,7 @@
         self._link = link
 
     async def progress_of(self, job: JobId) -> JobProgress | None:
-        """None where the leader is not known, or does not answer in time."""
+        """Return the job's progress; None if no leader is known or the leader does not respond in time."""
         if self._terms.active() is not None:
             return self._terms.progress_of(job)
         leader = self._leaders.known_leader()
@@ -88,7 +94,7 @@
 
 
 class TermBuilder:
-    """Builds a leader's term from what the controller has."""
+    """Builds a leader's term from the controller's parts."""
 
     def __init__(
         self,
@@ -109,8 +115,8 @@
         self._cancellations = cancellations
 
     def build(self, token: FencingToken) -> LeaderTerm:
-        """A term that has not started yet."""
-        # Only a leader needs it, and a start's time is counted; see `Controller.start`.
+        """Return a new term, which has not started yet."""
+        # Only a leader needs this module; the import is left out of the start-up. See `Controller.start`.
         from meadowcross.leadership.term import LeaderTerm  # noqa: PLC0415
 
         services = self._services
@@ -134,7 +140,7 @@
         )
 
     def _is_cold_start(self) -> bool:
-        """Whether nobody here knows what was before."""
+        """Return whether neither this node nor any peer has seen an earlier leader since its process began."""
         peers = self._link.status.fresh_heartbeats()
         return not (self._election.has_history or any(heartbeat.has_history for heartbeat in peers))
 
@@ -160,7 +166,7 @@
 
 
 class TermManager:
-    """Begins and ends this node's terms, as the election says; see `election.ElectionListener`."""
+    """Begins and ends this node's terms on behalf of the election; implements `election.ElectionListener`."""
 
     def __init__(
         self,
@@ -180,7 +186,7 @@
         self._hint_publisher: HintPublisher | None = None
 
     def begin_term(self, token: FencingToken) -> LeaderTerm:
-        """See `ElectionListener`."""
+        """Build and start a term with this token; see `ElectionListener`."""
         services = self._services
         services.store.reset_share(LEADER_SHARE)
         self._relay.on_token_seen(token)
@@ -194,15 +200,18 @@
         return term
 
     def end_term(self) -> None:
-        """See `ElectionListener`."""
+        """Return to a follower's share of the store's request rate; see `ElectionListener`."""
         self._services.store.reset_share(self._services.initial_share)
 
     def election_delay(self) -> Seconds:
-        """See `ElectionListener`."""
+        """Return the time to wait before a campaign; 0 without a failure detector. See `ElectionListener`."""
         return self._detector.election_delay() if self._detector is not None else 0.0
 
     async def find_successor(self) -> Successor | None:
-        """See `ElectionListener`: the peer that is placed best, if it is ready to lead."""
+        """Return the successor for a leadership transfer; None if no peer accepts. See `ElectionListener`.
+
+        The offer goes to the peer in sync with the store that receives the most workers' heartbeats.
+        """
         candidates = [
             heartbeat
             for heartbeat in self._link.status.fresh_heartbeats()
@@ -216,10 +225,10 @@
             return None
         return Successor(LeaderRecord(best.node, response.incarnation), response.lease)
 
-    # While this node leads
+    # Methods for the active term
 
     def publish_hints(self) -> None:
-        """Tell the peers what only the leader knows; behind everything else, and bounded."""
+        """Send the peers the leader's hints, if this node leads and has any."""
         term, publisher = self._terms.active(), self._hint_publisher
         if term is None or publisher is None:
             return
@@ -228,12 +237,12 @@
             self._link.send_hints(publisher.next_message(hints))
 
     def on_full_hints_request(self) -> None:
-        """A peer missed some of the hints."""
+        """Handle a peer's request for full hints, after it missed some."""
         if self._hint_publisher is not None:
             self._hint_publisher.request_full()
 
     def renew_relay_grants(self) -> None:
-        """Tell the peers who of them may answer workers for us."""
+        """Renew the relays' grants, if this node leads."""
         term = self._terms.active()
         if term is not None and term.relay_pool is not None:
             term.relay_pool.renew_grants()
--- a/meadowcross/controller/main.py
+++ b/meadowcross/controller/main.py
@@ -1,4 +1,4 @@
-"""Command line of a controller process: arguments, logging and the reactor."""
+"""Command line of the controller process: arguments, settings files, logging and the reactor."""
 
 from __future__ import annotations
 
@@ -20,25 +20,29 @@
 )
 
 GC_THRESHOLD_OBJECTS, GC_GENERATION_RATIO = 100_000, 50
+"""Garbage collector: new objects per collection, and collections of a generation per one of the next generation."""
 EXIT_OK, EXIT_USAGE = 0, 2
 
 
 def build_parser(program: str) -> argparse.ArgumentParser:
-    """The options of `run.py` and of `meadowcross run`."""
-    options = argparse.ArgumentParser(prog=program, description="A controller node of meadowcross.")
-    options.add_argument("--config", metavar="FILE", required=True, help="the platform's settings file (TOML)")
-    options.add_argument(
+    """Return the parser of the options of `run.py` and `meadowcross run`."""
+    parser = argparse.ArgumentParser(prog=program, description="A controller node of meadowcross.")
+    parser.add_argument("--config", metavar="FILE", required=True, help="the platform's settings file (TOML)")
+    parser.add_argument(
         "--operator-settings",
         metavar="FILE",
         help=f"the operators' own settings (XML); default {DEFAULT_OPERATOR_SETTINGS_PATH}, if it exists",
     )
-    options.add_argument("--check", action="store_true", help="read both settings files, report, and exit")
-    options.add_argument("--version", action="version", version=f"meadowcross {meadowcross.__version__}")
-    return options
+    parser.add_argument("--check", action="store_true", help="read both settings files, report, and exit")
+    parser.add_argument("--version", action="version", version=f"meadowcross {meadowcross.__version__}")
+    return parser
 
 
 def main(arguments: list[str], program: str = "run.py") -> int:
-    """Run a controller until it is told to stop. Returns the exit status: 0, or 2 for settings that can't be used."""
+    """Run a controller until the process gets a signal to stop, or only check the settings files.
+
+    Returns the exit status: 0, or 2 for settings files that can't be used.
+    """
     options = build_parser(program).parse_args(arguments)
     try:
         settings = load_settings(options.config)
@@ -59,11 +63,11 @@
 
 
 def run_controller(settings: Settings, operator: OperatorSettings) -> None:
-    """Build and start a controller on the process's reactor, and return when that has stopped."""
-    # What a leader allocates lives long or is freed by its count; looking through it all for cycles every few hundred
-    # objects took a tenth of its time.
+    """Build and start a controller on the process's reactor, and return when the reactor has stopped."""
+    # Most objects of a leader live long or are freed by reference counting. Searching for cycles after every few
+    # hundred new objects took a tenth of its time.
     gc.set_threshold(GC_THRESHOLD_OBJECTS, GC_GENERATION_RATIO, GC_GENERATION_RATIO)
-    # Only now: --help and --check need no reactor, and a start's time is counted.
+    # Imported here to keep --help and --check fast, which need no reactor.
     from twisted.internet import reactor  # noqa: PLC0415
     from twisted.internet.defer import Deferred  # noqa: PLC0415
 
@@ -73,7 +77,7 @@
     controller.start()
     loop: Any = reactor
     loop.addSystemEventTrigger(
-        "before", "shutdown", lambda: Deferred.fromCoroutine(controller.transfer_leadership("told to stop"))
+        "before", "shutdown", lambda: Deferred.fromCoroutine(controller.transfer_leadership("process is stopping"))
     )
     gc.freeze()
     loop.run()
--- a/meadowcross/controller/peers.py
+++ b/meadowcross/controller/peers.py
@@ -1,4 +1,4 @@
-"""What a peer's message sets off on this node, and what this node says of itself."""
+"""Handles messages from peers, and builds this node's own peer heartbeat."""
 
 from __future__ import annotations
 
@@ -26,11 +26,12 @@
 from meadowcross.workers.heartbeat_tracker import HeartbeatTracker
 
 NO_TOKEN = FencingToken(0)
+"""Lower than the token of any leader."""
 
 
 @dataclass
 class ClusterView:
-    """What this node hears of its peers and of workers, and says of itself."""
+    """This node's view of its peers and of the workers that send heartbeats here, and its own state for its peers."""
 
     services: Services
     election: Election
@@ -39,10 +40,10 @@
     store_epochs: StoreEpochs
     follower: ReplicaFollower | None
     relay_capacity: int | None
-    """How many workers it can serve for a leader; None: it can't."""
+    """Number of workers that this node can relay; None: this node is no relay."""
 
     def own_heartbeat(self) -> PeerHeartbeat:
-        """What peers are told of this node now."""
+        """Return the peer heartbeat of this node's present state."""
         epochs, follower, store = self.store_epochs, self.follower, self.services.store
         return PeerHeartbeat(
             node=self.services.node,
@@ -63,20 +64,20 @@
         )
 
     def peer_heartbeats(self) -> list[PeerHeartbeat]:
-        """Of all peers that were heard lately and are not lost since."""
+        """Return the recent heartbeats of all peers that are not lost."""
         return self.peers.fresh_heartbeats()
 
     def is_lost(self, peer: NodeName) -> bool:
-        """Whether the peer's process seems to have ended."""
+        """Return whether the peer is lost, which means that its process has probably ended."""
         return self.peers.is_lost(peer)
 
     def workers_arrived_since(self, instant: Instant) -> int:
-        """How many workers came here since then that no relaying explains."""
+        """Return the number of workers that sent heartbeats here since `instant`, except those that it relays."""
         return self.workers.count_since(instant)
 
 
 class HeartbeatReactions:
-    """What a peer's heartbeat, or its loss, sets off; see `peer_listeners.HeartbeatListener`."""
+    """Handles the heartbeats and the loss of peers; implements `peer_listeners.HeartbeatListener`."""
 
     def __init__(
         self,
@@ -95,11 +96,11 @@
         self._detector = detector
 
     def own_heartbeat(self) -> PeerHeartbeat:
-        """See `HeartbeatListener`."""
+        """Return this node's own peer heartbeat; see `HeartbeatListener`."""
         return self._view.own_heartbeat()
 
     def on_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
-        """See `HeartbeatListener`."""
+        """Pass a peer's heartbeat to the parts that use it; step down for a newer leader. See `HeartbeatListener`."""
         if self._detector is not None:
             self._detector.on_heartbeat(heartbeat)
         leading_token = heartbeat.leading_token or NO_TOKEN
@@ -120,13 +121,13 @@
             self._election.step_down(f"{heartbeat.node} leads with token {token}")
 
     def on_peer_lost(self, peer: NodeName) -> None:
-        """See `HeartbeatListener`."""
+        """Report a lost peer to the failure detector; see `HeartbeatListener`."""
         if self._detector is not None:
             self._detector.on_peer_lost(peer)
 
 
 class PeerRequests:
-    """Answers peers' requests; see `peer_listeners.PeerRequestHandler`."""
+    """Responds to peers' requests; implements `peer_listeners.PeerRequestHandler`."""
 
     def __init__(
         self,
@@ -145,19 +146,19 @@
         self._job_api = job_api
 
     def progress_of(self, job: JobId) -> JobProgress | None:
-        """See `PeerRequestHandler`."""
+        """Return a job's progress in this node's own term; see `PeerRequestHandler`."""
         return self._terms.progress_of(job)
 
     def replica_part(self, request: ReplicaPartRequest) -> ReplicaPart:
-        """See `PeerRequestHandler`."""
+        """Return a part of this node's pre-loss replica; see `PeerRequestHandler`."""
         return self._replica_parts.replica_part(request)
 
     async def serve_forwarded(self, operation: str, job: str, body: bytes) -> ServerResponse:
-        """See `PeerRequestHandler`."""
+        """Serve a user's request that a peer forwarded; see `PeerRequestHandler`."""
         return await self._job_api.serve(operation, job, body)
 
     async def accept_leadership(self, number: int) -> LeadershipOfferResponse:
-        """See `PeerRequestHandler`. Only a node that could lead at once accepts."""
+        """Accept a leadership offer if this node is in sync and gets a leader lease; see `PeerRequestHandler`."""
         if self._follower is None or not self._follower.is_in_sync:
             return LeadershipOfferResponse(number)
         successor = await self._election.accept_leadership()
@@ -167,7 +168,7 @@
 
 
 class HintExchange:
-    """Hands on the leader's hints; see `peer_listeners.HintListener`."""
+    """Handles hints and requests for them; implements `peer_listeners.HintListener`."""
 
     def __init__(self, subscriber: HintSubscriber, follower: ReplicaFollower | None, terms: TermManager) -> None:
         self._subscriber = subscriber
@@ -175,12 +176,12 @@
         self._terms = terms
 
     def on_hints(self, hints: Hints) -> None:
-        """See `HintListener`. A replica that differs from the leader's is read anew."""
+        """Apply the leader's hints, and resync a replica that differs from the leader's; see `HintListener`."""
         self._subscriber.apply(hints)
         counts, follower = hints.key_counts, self._follower
         if follower is not None and counts and not follower.matches_counts(counts[0], KeyCounts(*counts[1:])):
             follower.resync(f"it differs from the leader's at revision {counts[0]}")
 
     def on_full_hints_request(self) -> None:
-        """See `HintListener`."""
+        """Send full hints with the next message, if this node leads; see `HintListener`."""
         self._terms.on_full_hints_request()
--- a/meadowcross/controller/recovery.py
+++ b/meadowcross/controller/recovery.py
@@ -1,4 +1,4 @@
-"""What a controller does when the store has lost data: notice, step down, begin a new epoch, answer with care."""
+"""Connects the controller's parts for a data loss of the store: step down, begin a new epoch, and serve requests."""
 
 from __future__ import annotations
 
@@ -22,34 +22,35 @@
 from meadowcross.store.messages import Condition
 
 LONG_HISTORY_S: Seconds = 300.0
-"""Who has followed for so long has seen ended what users still ask about, or has had it compared."""
+"""A node that has followed the store for this long received the end of each job that users still ask about, or the
+audit has compared the job's record with the store."""
 
 
 class SnapshotReader:
-    """The directory of snapshots, if the operators name one."""
+    """Reads the snapshot directory, if the operators have set one."""
 
     def __init__(self, operator: OperatorSettings) -> None:
         self._directory = operator.snapshot_directory
 
     def read(self) -> list[RecoverySource]:
-        """The newest snapshot that can be used; nothing where none is named or there."""
+        """Return the newest usable snapshot; empty if no directory is set or it has no usable snapshot."""
         if not self._directory:
             return []
-        # Only where a directory is named, and then only when it is read: a start's time is counted.
+        # Imported only when a directory is read, to keep the start-up time short.
         from meadowcross.snapshots import files  # noqa: PLC0415
 
         source, rejections = files.read_newest(self._directory)
-        for text in rejections:
-            logging.getLogger("snapshots").error("not used: %s", text)
+        for rejection in rejections:
+            logging.getLogger("snapshots").error("snapshot not used reason=%r", rejection)
         return [source] if source is not None else []
 
     def minimum_position(self) -> tuple[int, int]:
-        """The store has been at least so far: epoch and revision."""
+        """Return an epoch and revision that the store is known to have reached; (0, 0) without a snapshot."""
         return max(((source.epoch, int(source.revision)) for source in self.read()), default=(0, 0))
 
 
 class DataLossHandler:
-    """Holds still once data was lost: what was followed is kept, and nobody leads until somebody begins a new epoch."""
+    """Reacts to a data loss: freezes the replica and steps down, so that no node leads until a new epoch begins."""
 
     def __init__(self, follower: ReplicaFollower | None) -> None:
         self._follower = follower
@@ -58,11 +59,11 @@
         self._link: PeerLink
 
     def connect(self, store_epochs: StoreEpochs, election: Election, link: PeerLink) -> None:
-        """Once, before anything starts: the store's epochs report to this handler, and so are built after it."""
+        """Set the parts that are built after this handler. Called once, before any part starts."""
         self._store_epochs, self._election, self._link = store_epochs, election, link
 
     def on_data_loss(self, reason: str) -> None:
-        """There is proof that the store lost data."""
+        """Freeze the replica, step down, and report a proven data loss to the peers."""
         record = self._store_epochs.record
         if self._follower is not None and record is not None:
             self._follower.freeze(record.number, self._store_epochs.is_loss_older)
@@ -71,17 +72,17 @@
         self._link.send_heartbeats()
 
     def on_job_missing(self, job: JobId) -> None:
-        """The store knows nothing of a job that we saw stored."""
-        self._store_epochs.report_loss(f"job {job} is gone")
+        """Report a data loss: the store no longer has the record of a job that was stored before."""
+        self._store_epochs.report_loss(f"job {job} is missing")
 
     def on_recovered(self) -> None:
-        """All that was known is back in the store."""
+        """Resume following the store, once all collected data is written back."""
         if self._follower is not None:
             self._follower.unfreeze()
 
 
 class EpochTokens:
-    """Fencing tokens of the store's present epoch; see `election.TokenSource`."""
+    """Composes fencing tokens of the store's present epoch; implements `election.TokenSource`."""
 
     def __init__(self, store: StoreClient, store_epochs: StoreEpochs, peers: PeerStatus) -> None:
         self._store = store
@@ -89,37 +90,44 @@
         self._peers = peers
 
     def token_if_epoch_known(self, revision: Revision) -> FencingToken | None:
-        """See `TokenSource`."""
+        """Return the token for this node's own key; None: a new epoch must begin first. See `TokenSource`."""
         return self._store_epochs.token_for_key(revision)
 
     def token_for_key(self, revision: Revision) -> FencingToken:
-        """See `TokenSource`."""
+        """Return the token for another node's key; epoch 0 is assumed while none is known. See `TokenSource`."""
         record = self._store_epochs.record
         return compose_token(record.number if record is not None else 0, revision)
 
     def is_store_suspect(self) -> bool:
-        """See `TokenSource`."""
+        """Return whether the store has lost data and no new epoch has begun; see `TokenSource`."""
         return self._store_epochs.is_lost()
 
     async def begin_store_epoch(self, revision: Revision) -> FencingToken | None:
-        """See `TokenSource`."""
+        """Begin a new epoch under this node's key and return the token in it; see `TokenSource`.
+
+        Returns None if the key is no longer this node's, or another node has begun an epoch without a token for this
+        node. Raises the errors of the store client.
+        """
         epochs = self._store_epochs
         await epochs.refresh()
         token = epochs.token_for_key(revision)
         if token is not None:
             return token
         if not epochs.is_lost():
-            # Somebody has seen a token from beyond this epoch. If the key is still ours, it is from before a loss.
+            # A token that is not below this key's exists. If the key is still this node's own, the store has lost the
+            # data from which that token was issued.
             if await self._store.find_changed_keys([Condition(LEADER_KEY, revision)]):
                 return None
-            seen = f"token {epochs.highest_token} was seen, the store is at revision {self._store.highest_revision}"
-            epochs.report_loss(seen, True)
+            reason = (
+                f"token {epochs.highest_token} was received, the store is at revision {self._store.highest_revision}"
+            )
+            epochs.report_loss(reason, True)
         peer_epochs = (heartbeat.store_epoch or 0 for heartbeat in self._peers.fresh_heartbeats())
         return await epochs.begin_epoch(LEADER_KEY, revision, max(peer_epochs, default=0))
 
 
 class ReplicaParts:
-    """Tells a peer that recovers what this node followed before the loss."""
+    """Serves this node's pre-loss replica to a peer that runs a recovery."""
 
     def __init__(self, node: NodeName, store_epochs: StoreEpochs, follower: ReplicaFollower | None) -> None:
         self._node = node
@@ -127,18 +135,18 @@
         self._follower = follower
 
     def replica_part(self, request: ReplicaPartRequest) -> ReplicaPart:
-        """The part after the request's key; an empty one where nothing was followed."""
+        """Return the part after the request's key; an empty one if this node has no replica."""
         record = self._store_epochs.record
         if self._follower is None:
             return ReplicaPart(request.number, self._node)
         if record is not None and self._follower.pre_loss_replica is None:
-            # Who asks has proof of a loss.
+            # The peer sends this request only after a proven loss, which this node has not detected yet.
             self._store_epochs.on_loss_reported(record.number, "a peer", False)
         return build_replica_part(self._follower, request, self._node)
 
 
 class AuditTurn:
-    """Which one of the followers compares its replica with the store."""
+    """Selects the one follower that audits the store."""
 
     def __init__(self, node: NodeName, peers: PeerStatus, terms: CurrentTerm) -> None:
         self._node = node
@@ -146,7 +154,7 @@
         self._terms = terms
 
     def is_own_turn(self) -> bool:
-        """Whether this node follows, and is the first by name of those that do."""
+        """Return whether this node does not lead and no follower in sync has a name that sorts before its own."""
         followers = [
             heartbeat.node
             for heartbeat in self._peers.fresh_heartbeats()
@@ -156,7 +164,7 @@
 
 
 class RequestPeers:
-    """Which peers users' requests are passed to."""
+    """Selects the peers to which users' requests are forwarded."""
 
     def __init__(
         self,
@@ -175,7 +183,7 @@
         self._leaders = leaders
 
     def as_peer_queries(self, progress: ProgressQuery) -> PeerQueries:
-        """What the user API asks, as it takes it."""
+        """Return the queries to peers in the form that the API for users takes."""
         return PeerQueries(
             progress=progress.progress_of,
             has_store=self._link.status.peer_has_store,
@@ -186,29 +194,36 @@
         )
 
     def has_unknown_leader(self) -> bool:
-        """Whether a token was seen that is higher than that of the leader we know."""
+        """Return whether a worker or peer has sent a token above that of the known leader."""
         leader = self._leaders.known_leader()
         return self._store_epochs.highest_token > (leader[1] if leader is not None else FencingToken(0))
 
     async def ask_peer_with_history(self, job: JobId) -> ServerResponse | None:
-        """What a peer says of a job that the store does not know, if it has followed for longer than we have."""
+        """Forward a query for a job without a record to a peer with a longer history.
+
+        Returns None if this node has followed the store for long enough itself, if there is no such peer, or if the
+        peer does not respond.
+        """
         follower = self._follower
         if self._election.has_history and follower is not None and follower.has_followed_for(LONG_HISTORY_S):
             return None
-        peer = next(filter(_knows_more, self._link.status.fresh_heartbeats()), None)
+        peer = next(filter(_is_in_sync_with_history, self._link.status.fresh_heartbeats()), None)
         return await self._link.forward("query", job, b"", peer.node) if peer is not None else None
 
     def leader_forwarder(self) -> RequestForwarder | None:
-        """How the leader is asked: while ended jobs come back only it knows them all."""
+        """Return a function that forwards a request to the leader; None if requests are served by this node.
+
+        Requests are forwarded while ended jobs are written back, because only the leader has all of them then.
+        """
         if self._store_epochs.stage is not RecoveryStage.ENDED_JOBS or self._terms.active() is not None:
             return None
         leader = self._leaders.known_leader()
 
-        async def ask(operation: str, job: str, body: bytes) -> ServerResponse | None:
+        async def forward_to_leader(operation: str, job: str, body: bytes) -> ServerResponse | None:
             return await self._link.forward(operation, job, body, leader[0]) if leader is not None else None
 
-        return ask
+        return forward_to_leader
 
 
-def _knows_more(heartbeat: PeerHeartbeat) -> bool:
+def _is_in_sync_with_history(heartbeat: PeerHeartbeat) -> bool:
     return heartbeat.has_history and heartbeat.is_in_sync
--- a/meadowcross/controller/services.py
+++ b/meadowcross/controller/services.py
@@ -1,4 +1,4 @@
-"""What all parts of a controller share: its identity, its settings and its clients of the services outside."""
+"""Objects that all parts of a controller share: its identity, its settings and the clients of external services."""
 
 from __future__ import annotations
 
@@ -17,41 +17,44 @@
 
 @dataclass(frozen=True)
 class Services:
-    """Built once at the start. `digest` tells whether another node decides by the same settings."""
+    """The shared objects, built once at the start of the process."""
 
     reactor: Any
     settings: Settings
     operator: OperatorSettings
     node: NodeName
     incarnation: str
+    """Identifies this process among all processes of the node."""
     digest: str
+    """Hash of the settings; another node with the same digest makes its decisions by the same settings."""
     http: HttpClient
     short_lived_http: HttpClient
-    """Keeps no idle connections: for many addresses that are called seldom."""
+    """Closes idle connections soon, for many addresses that are seldom contacted."""
     initial_share: float
-    """Of the store's limits, until a leader has told what it uses: a cluster's first users come all at once."""
+    """Share of the store's rate limits until a leader reports its own use. Part of the leader's share is included, as
+    the first users of a new cluster all come at once."""
     store: StoreClient
     cloud: CloudClient
     machine_types: MachineTypeCatalog
 
     @property
     def node_count(self) -> int:
-        """How many nodes the cluster has, this one included."""
+        """Number of nodes of the cluster, including this one."""
         return 1 + len(self.settings.peers)
 
     @property
     def peer_names(self) -> list[NodeName]:
-        """The other nodes of the cluster."""
+        """Names of the other nodes of the cluster."""
         return [NodeName(peer.host_name) for peer in self.settings.peers]
 
     @property
     def may_relay(self) -> bool:
-        """Whether nodes may answer workers for the leader."""
+        """Whether the operators' settings let nodes relay workers' heartbeats for the leader."""
         return self.operator.relays is not RelayMode.NEVER
 
 
 def build_services(reactor: Any, settings: Settings, operator: OperatorSettings) -> Services:
-    """A new incarnation of the node that the settings name. Nothing is asked of any service yet."""
+    """Build the shared objects for a new incarnation of the node. No request is sent yet."""
     facts = settings.facts
     http = HttpClient(reactor)
     short_lived_http = HttpClient(reactor, idle_timeout_s=SHORT_IDLE_TIMEOUT_S)
--- a/tests/controller/test_end_to_end.py
+++ b/tests/controller/test_end_to_end.py
@@ -1,5 +1,7 @@
-"""Three real controller processes on loopback against the stand-ins: submit, run, kill
-the leader with -9, finish, and the same answers from every node left."""
+"""End-to-end test: three controller processes on loopback addresses, with simulated services and workers.
+
+Jobs are submitted and run, the leader is killed with `kill -9`, and the other nodes finish the jobs and agree.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +17,9 @@
 from tests.support.paths import ROOT
 from tests.support.world import job
 
-# Loopback addresses of this process's own, so that fixed ports can't collide.
+# Loopback addresses that depend on the process id, so that the fixed ports of parallel test runs don't collide.
 NET = f"127.{100 + os.getpid() // 250 % 100}.{os.getpid() % 250}"
-LIMIT_S = 60.0
+WAIT_TIMEOUT_S = 60.0
 
 CONFIG = """
 host_name = "n{i}"
@@ -60,22 +62,22 @@
         connection.close()
 
 
-def until(what, seconds: float = LIMIT_S):
-    """Wait for an event of other processes; fails rather than waits for ever."""
-    end = time.monotonic() + seconds
-    while time.monotonic() < end:
-        value = what()
+def until(condition, seconds: float = WAIT_TIMEOUT_S):
+    """Poll `condition` until its value is true, and return the value. Raises AssertionError after `seconds`."""
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
+        value = condition()
         if value:
             return value
-        wait.wait(0.05)
-    raise AssertionError("did not happen in time")
+        poll_pause.wait(0.05)
+    raise AssertionError(f"condition was not met within {seconds} s")
 
 
-wait = threading.Event()
+poll_pause = threading.Event()
 
 
 class LiveWorker(Worker):
-    """Reports on its own to whichever node leads; tasks are done after a second."""
+    """Sends heartbeats to the leader from a thread of its own, and ends each task after one second."""
 
     def __init__(self, machine: dict, address: str) -> None:
         super().__init__(machine)
@@ -83,7 +85,7 @@
         self.lock = threading.RLock()
         self.over = threading.Event()
         self.node = 0
-        self.since: dict[tuple[str, int], float] = {}
+        self.running_since: dict[tuple[str, int], float] = {}
         self.server = serve(self, address, 9000)
         threading.Thread(target=self.loop, daemon=True).start()
 
@@ -97,36 +99,36 @@
                 for key, task in self.tasks.items():
                     if (
                         task["standing"] == "running"
-                        and time.monotonic() - self.since.setdefault(key, time.monotonic()) > 1.0
+                        and time.monotonic() - self.running_since.setdefault(key, time.monotonic()) > 1.0
                     ):
                         self.end(key)
                 report = self.report()
-            status, answer = call(self.node, "POST", "/checkin", report)
+            status, response = call(self.node, "POST", "/checkin", report)
             with self.lock:
-                if status == 200 and answer["crook"] >= self.token:
-                    self.token = answer["crook"]
-                    self.obey(answer["calls"])
-                elif status == 421 and answer.get("drover"):
-                    self.node = int(answer["drover"][1:])
+                if status == 200 and response["crook"] >= self.token:
+                    self.token = response["crook"]
+                    self.obey(response["calls"])
+                elif status == 421 and response.get("drover"):
+                    self.node = int(response["drover"][1:])
                 else:
                     self.node = (self.node + 1) % 3
 
 
-def test_three_nodes_outlive_their_leader(tmp_path):
+def test_the_other_nodes_finish_all_jobs_after_the_leader_is_killed(tmp_path):
     state = StateService(time.monotonic)
     cloud = CloudService()
     workers: list[LiveWorker] = []
     started: list[tuple[str, int]] = []
 
-    def rent(machine: dict) -> None:
+    def on_machine_created(machine: dict) -> None:
         worker = LiveWorker(machine, f"{NET}.{100 + len(workers)}")
         worker.started = started
         workers.append(worker)
 
-    def delete(name: str) -> None:
-        next(w for w in workers if w.machine["id"] == name).over.set()
+    def on_machine_deleted(name: str) -> None:
+        next(worker for worker in workers if worker.machine["id"] == name).over.set()
 
-    cloud.on_rent, cloud.on_delete = rent, delete
+    cloud.on_rent, cloud.on_delete = on_machine_created, on_machine_deleted
     servers = [serve(cloud, f"{NET}.200", 8443), serve(state, f"{NET}.201", 2379)]
     processes: list[subprocess.Popen[bytes]] = []
     try:
@@ -143,22 +145,22 @@
         until(lambda: len(started) >= 6)
         leader = int(state.value("lead")["node"][1:])
         processes[leader].kill()
-        rest = [i for i in range(3) if i != leader]
-        assert call(rest[0], "POST", "/v1/jobs", job(id="wk-000009", heads=4))[0] in (201, 200)
-        names = ["wk-000000", "wk-000001", "wk-000002", "wk-000009"]
+        live_nodes = [i for i in range(3) if i != leader]
+        assert call(live_nodes[0], "POST", "/v1/jobs", job(id="wk-000009", heads=4))[0] in (201, 200)
+        job_ids = ["wk-000000", "wk-000001", "wk-000002", "wk-000009"]
 
-        def answers(node: int) -> list[str | None]:
-            return [call(node, "GET", f"/v1/jobs/{name}")[1].get("standing") for name in names]
+        def job_states(node: int) -> list[str | None]:
+            return [call(node, "GET", f"/v1/jobs/{job_id}")[1].get("standing") for job_id in job_ids]
 
-        until(lambda: answers(rest[0]) == ["done"] * 4)
-        assert answers(rest[1]) == ["done"] * 4
+        until(lambda: job_states(live_nodes[0]) == ["done"] * 4)
+        assert job_states(live_nodes[1]) == ["done"] * 4
         assert len(started) == len(set(started)) and len({task for task, _ in started}) == 22
-        for node in rest:
+        for node in live_nodes:
             assert call(node, "GET", "/v1/jobs/wk-000777")[0] == 404
             assert call(node, "DELETE", "/v1/jobs/wk-000000")[0] == 405
             assert call(node, "GET", "/elsewhere")[0] == 404
             assert call(node, "POST", "/v1/jobs", {"pad": "x" * 70_000})[0] == 413
-        assert state.value("lead")["node"] in {f"n{i}" for i in rest}
+        assert state.value("lead")["node"] in {f"n{i}" for i in live_nodes}
     finally:
         for process in processes:
             process.kill()
