--- a/meadowcross/common/__init__.py
+++ b/meadowcross/common/__init__.py
@@ -1,1 +1,1 @@
-"""What every slice uses: small types, HTTP, settings, logging."""
+"""Modules that all packages use: identifiers and other small types, HTTP, settings, logging and the clock."""
--- a/meadowcross/common/clock.py
+++ b/meadowcross/common/clock.py
@@ -1,4 +1,4 @@
-"""The clock interface of a Twisted reactor; tests use `twisted.internet.task.Clock` in its place."""
+"""The clock interface of a Twisted reactor, which `twisted.internet.task.Clock` implements for tests."""
 
 from __future__ import annotations
 
@@ -11,15 +11,19 @@
 
 
 class Clock(Protocol):
-    """Monotonic time in seconds and delayed calls."""
+    """A reactor's time in seconds, and delayed calls."""
 
-    def seconds(self) -> float: ...
+    def seconds(self) -> float:
+        """Return the current time in seconds."""
+        ...
 
-    def callLater(self, delay: float, callable: Callable[..., Any], *args: Any, **kw: Any) -> Any: ...
+    def callLater(self, delay: float, callable: Callable[..., Any], *args: Any, **kw: Any) -> Any:
+        """Call `callable` after `delay` seconds. Returns a handle that can cancel the call."""
+        ...
 
 
 def pause(clock: Clock, seconds: Seconds) -> Deferred[None]:
-    """A Deferred that fires after that many seconds of the clock."""
-    done: Deferred[None] = Deferred()
-    clock.callLater(seconds, done.callback, None)
-    return done
+    """Return a Deferred that fires with None after `seconds` seconds of the clock."""
+    elapsed: Deferred[None] = Deferred()
+    clock.callLater(seconds, elapsed.callback, None)
+    return elapsed
--- a/meadowcross/common/http.py
+++ b/meadowcross/common/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on twisted.web: a client that tells unsent requests from unanswered ones, and a small routed server."""
+"""HTTP/1.1 on twisted.web: a client that distinguishes unsent requests from those without a response, and a server."""
 
 from __future__ import annotations
 
@@ -24,19 +24,23 @@
 log = get_logger("common")
 
 MAX_BODY = 64 * 1024
-MAX_DISCARDED_BODY = 1024 * 1024
+"""Limit for the body of a request, in bytes."""
+MAX_DISCARDED_BODY_BYTES = 1024 * 1024
+"""Bytes of an oversized body that the server reads and discards before it closes the connection."""
 IDLE_TIMEOUT_S = 90
+"""Time after which an idle connection is closed, by the client and by the server."""
 SHORT_IDLE_TIMEOUT_S = 1
-"""Idle timeout (s) of connections to many seldom-contacted hosts, where sockets are scarce."""
+"""Idle timeout of a client for many seldom-contacted hosts, where sockets are scarce."""
 MAX_ENDPOINTS = 5_000
+"""Limit for the client's cached endpoints; a full cache is emptied."""
 
 
 class ConnectionFailedError(Exception):
-    """No connection was established, so the request was certainly not sent."""
+    """No connection was established, so the request was not sent."""
 
 
 class NoResponseError(Exception):
-    """No response arrived: the request may have been executed, or may still be."""
+    """No response arrived: the request may have been executed, or may be executed later."""
 
 
 class ClientResponse(NamedTuple):
@@ -47,7 +51,7 @@
 
 
 class HttpClient:
-    """HTTP client with a connection pool; one request at a time on a connection, no automatic retries."""
+    """HTTP client with a connection pool: one request at a time on each connection, and no automatic retries."""
 
     def __init__(self, reactor: Any, connections_per_host: int = 6, idle_timeout_s: int = IDLE_TIMEOUT_S) -> None:
         """Keep at most `connections_per_host` idle connections to a host, each for `idle_timeout_s` seconds."""
@@ -55,7 +59,7 @@
         self._pool = HTTPConnectionPool(reactor, persistent=True)
         self._pool.maxPersistentPerHost = connections_per_host
         self._pool.cachedConnectionTimeout = idle_timeout_s
-        # A repeated request could be executed twice, so only the caller may retry.
+        # A retried request could be executed twice, so only the caller may retry.
         self._pool.retryAutomatically = False
         self._reactor = reactor
         self._agents: dict[float, Agent] = {}
@@ -63,11 +67,12 @@
     async def call(
         self, method: str, address: Address, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> ClientResponse:
-        """Send a request and return the response, within `timeout` seconds for the headers and again for the body.
+        """Send a request and return the response. `timeout` is in seconds, for the headers and again for the body.
 
         Raises ConnectionFailedError or NoResponseError.
         """
-        # Connecting times out before the request does, so that a dead host is reported as ConnectionFailedError.
+        # The connection times out before the request does, so that an unreachable host is reported as
+        # ConnectionFailedError.
         connect_timeout_s = min(1.0, timeout / 2)
         agent = self._agents.get(connect_timeout_s)
         if agent is None:
@@ -94,8 +99,10 @@
 
 
 class _BodyCollector(Receiver):
-    """Collects a response body. Twisted's `readBody` emits a costly warning for each connection it can't abort; here
-    an abandoned connection is closed."""
+    """Collects a response body and closes the connection if the body is cancelled.
+
+    Twisted's `readBody` emits a costly warning for each connection that it can't abort.
+    """
 
     def __init__(self) -> None:
         self.body: Deferred[bytes] = Deferred(lambda _: self._abort())
@@ -119,8 +126,11 @@
 
 @implementer(IAgentEndpointFactory)
 class _EndpointCache:
-    """Caches endpoints by address: an agent otherwise builds one per request, even when it reuses a connection, and
-    checks the host name each time."""
+    """Caches endpoints by address.
+
+    Without the cache an agent builds one endpoint per request, even if it reuses a connection, and checks the host name
+    each time.
+    """
 
     def __init__(self, reactor: Any, timeout: float) -> None:
         self._reactor = reactor
@@ -138,7 +148,7 @@
 
 
 class _ImmediateCooperator:
-    """A cooperator that writes small bodies in one step, without a delayed call between chunks."""
+    """Cooperator that writes a small body in one step, without a delayed call between chunks."""
 
     def cooperate(self, iterator: Any) -> Any:
         for _ in iterator:
@@ -153,45 +163,54 @@
         return done
 
     def stop(self) -> None:
-        """Nothing is left to stop."""
+        """Do nothing: the task is already complete."""
 
     pause = resume = stop
 
 
 class ServerResponse(NamedTuple):
-    """What a handler returns; `retry_after` is in whole seconds."""
+    """Response of a handler."""
 
     status: int
     body: bytes
     retry_after: int | None = None
+    """Value of the `retry-after` header in whole seconds; None: no such header."""
 
 
 Handler = Callable[..., Awaitable[ServerResponse] | ServerResponse]
 
 
 class Route(NamedTuple):
+    """A method and a path pattern with their handler."""
+
     method: str
     pattern: re.Pattern[str]
+    """Matches the whole path."""
     handler: Handler
     """Called with the request body and the pattern's groups."""
 
 
 def error_response(status: int, message: str, retry_after: int | None = None) -> ServerResponse:
-    """A response whose body is a one-line JSON object with the reason under `error`."""
-    safe = message.replace("\\", "/").replace('"', "'").replace("\n", " ")
-    return ServerResponse(status, b'{"error":"%s"}\n' % safe.encode("utf-8", "replace"), retry_after)
+    """Return a response whose body is a one-line JSON object with the message under `error`.
+
+    Backslashes, double quotes and newlines in the message are replaced by characters that JSON does not escape.
+    """
+    json_safe_message = message.replace("\\", "/").replace('"', "'").replace("\n", " ")
+    return ServerResponse(status, b'{"error":"%s"}\n' % json_safe_message.encode("utf-8", "replace"), retry_after)
 
 
 class Router:
-    """Maps method and path to handlers."""
+    """Maps a method and a path to a handler."""
 
     def __init__(self) -> None:
         self._routes: list[Route] = []
 
     def add(self, method: str, pattern: str, handler: Handler) -> None:
+        """Add a route. `pattern` is a regular expression for the whole path; earlier routes take precedence."""
         self._routes.append(Route(method, re.compile(pattern), handler))
 
     def resolve(self, method: str, path: str) -> tuple[Handler, tuple[str, ...]] | ServerResponse:
+        """Return the handler and the groups of the path, or a response with status 405 or 404 if no route matches."""
         is_known_path = False
         for route in self._routes:
             match = route.pattern.fullmatch(path)
@@ -206,7 +225,7 @@
 
 
 class ApiRequest(http.Request):
-    """One request: resolved by the router, answered by its handler. Bodies are limited to MAX_BODY bytes."""
+    """A request that the handler of its route responds to. Bodies are limited to MAX_BODY bytes."""
 
     router: Router
     guard: RequestGuard | None = None
@@ -214,20 +233,22 @@
     discarded_bytes = 0
 
     def __init__(self, channel: Any, queued: Any = False) -> None:
-        # No form is ever posted here, and parsing the content type of each heartbeat took a seventh of a leader's
-        # processor time (2.5 of 17.7 s under a profiler). A class attribute would be overwritten by the constructor.
+        # No API takes forms, and parsing the content type of each heartbeat took a seventh of a leader's processor time
+        # (2.5 of 17.7 s under a profiler). The constructor would overwrite a class attribute.
         super().__init__(channel, queued, parsePOSTFormSubmission=False)
 
     def gotLength(self, length: int | None) -> None:
+        """Reject a body whose announced length exceeds the limit."""
         if length is not None and length > MAX_BODY:
             self._reject_body()
             length = 0
         super().gotLength(length)
 
     def handleContentChunk(self, data: bytes) -> None:
+        """Reject a body that exceeds the limit as it arrives, and discard the rest of a rejected one."""
         if self.is_body_too_large:
             self.discarded_bytes += len(data)
-            if self.discarded_bytes > MAX_DISCARDED_BODY and self.channel is not None:
+            if self.discarded_bytes > MAX_DISCARDED_BODY_BYTES and self.channel is not None:
                 self.channel.loseConnection()
             return
         if self.content is not None and self.content.tell() + len(data) > MAX_BODY:
@@ -236,40 +257,43 @@
         super().handleContentChunk(data)
 
     def _reject_body(self) -> None:
-        """Respond before the rest of an oversized body has arrived. The rest is read and discarded: closing with unread
-        data would reset the connection and lose the response."""
+        """Respond with status 413 before the rest of an oversized body has arrived.
+
+        The rest is read and discarded: a connection that is closed with unread data is reset, and the response is lost.
+        """
         self.is_body_too_large = True
         self.clientproto = b"HTTP/1.1"
         self.setHeader(b"connection", b"close")
         self._write_response(error_response(413, f"a body holds at most {MAX_BODY} bytes"))
 
     def process(self) -> None:
+        """Run the guard and the handler for a request that has arrived completely."""
         if self.is_body_too_large:
             self.finish()
             return
         path = self.path.decode("utf-8", "replace") if self.path else "/"
-        found = self.router.resolve(self.method.decode("ascii", "replace"), path)
-        if isinstance(found, ServerResponse):
-            self._finish_with(found)
+        resolution = self.router.resolve(self.method.decode("ascii", "replace"), path)
+        if isinstance(resolution, ServerResponse):
+            self._finish_with(resolution)
             return
-        handler, groups = found
+        handler, groups = resolution
         assert self.content is not None
         body = self.content.read()
         try:
             rejection = self.guard(self, path, body) if self.guard is not None else None
             result = rejection or handler(body, *groups)
         except Exception:
-            log.exception("handler of %s failed", path)
+            log.exception("request handler failed path=%s", path)
             result = error_response(500, "internal error", 1)
         if isinstance(result, ServerResponse):
             self._finish_with(result)
         else:
-            work: Deferred[ServerResponse] = Deferred.fromCoroutine(result)  # type: ignore[arg-type]
-            work.addCallbacks(self._finish_with, self._failed)
+            pending_response: Deferred[ServerResponse] = Deferred.fromCoroutine(result)  # type: ignore[arg-type]
+            pending_response.addCallbacks(self._finish_with, self._on_handler_failure)
 
-    def _failed(self, failure: Any) -> None:
+    def _on_handler_failure(self, failure: Any) -> None:
         if not failure.check(CancelledError):
-            log.error("handler of %s failed: %s", self.path, failure.getTraceback())
+            log.error("request handler failed path=%s error=%s", self.path, failure.getTraceback())
         self._finish_with(error_response(500, "internal error", 1))
 
     def _finish_with(self, response: ServerResponse) -> None:
@@ -287,19 +311,26 @@
 
 
 class RequestGuard(Protocol):
-    """Access check before a handler: returns the rejection, or None if the request may be handled."""
+    """Access check that runs before a handler."""
 
-    def __call__(self, request: ApiRequest, path: str, body: bytes) -> ServerResponse | None: ...
+    def __call__(self, request: ApiRequest, path: str, body: bytes) -> ServerResponse | None:
+        """Return the rejection, or None if the request may be handled."""
+        ...
 
 
 class BoundedHttpFactory(http.HTTPFactory):
-    """Serves at most `max_connections` at a time and closes further ones as they are accepted. A node whose last
-    sockets went to workers could no longer reach the state service and lost its leader lease."""
+    """Serves at most `max_connections` at a time and closes further ones as they are accepted.
+
+    A node whose last sockets went to workers could no longer reach the state service and lost its leader lease.
+    """
 
     max_connections: int | None = None
+    """None: unlimited."""
     open_connections = 0
+    """Number of connections that are open now."""
 
     def buildProtocol(self, addr: Any) -> Any:
+        """Return a protocol for an accepted connection, or None, which closes the connection."""
         if self.max_connections is not None and self.open_connections >= self.max_connections:
             return None
         return super().buildProtocol(addr)
@@ -308,7 +339,7 @@
 def build_api_factory(
     router: Router, reactor: Any, guard: RequestGuard | None = None, max_connections: int | None = None
 ) -> http.HTTPFactory:
-    """A factory that serves the router's routes, at most `max_connections` at a time (None: unlimited)."""
+    """Return a factory that serves the router's routes on at most `max_connections` connections (None: unlimited)."""
 
     class RoutedRequest(ApiRequest):
         pass
--- a/meadowcross/common/reactor_runner.py
+++ b/meadowcross/common/reactor_runner.py
@@ -1,4 +1,4 @@
-"""Run one coroutine on the reactor to its end, for commands that finish by themselves."""
+"""Runs one coroutine to its end on the reactor, for commands that are not servers."""
 
 from __future__ import annotations
 
@@ -12,19 +12,21 @@
 
 
 def run_until_complete(work: Coroutine[Any, Any, T]) -> T:
-    """Return the coroutine's result or raise its error. At most once in a process: a reactor can't be restarted.
+    """Run the coroutine on the reactor and return its result or raise its error.
 
-    Raises KeyboardInterrupt if the reactor is stopped first."""
+    May be called once in a process, as a reactor can't be restarted. Raises KeyboardInterrupt if the reactor is stopped
+    before the coroutine has ended.
+    """
     from twisted.internet import reactor
 
     loop: Any = reactor
     outcome: list[Any] = []
 
-    def end(result: Any) -> None:
+    def on_completed(result: Any) -> None:
         outcome.append(result)
         loop.stop()
 
-    loop.callWhenRunning(lambda: Deferred.fromCoroutine(work).addBoth(end))
+    loop.callWhenRunning(lambda: Deferred.fromCoroutine(work).addBoth(on_completed))
     loop.run()
     if not outcome:
         raise KeyboardInterrupt
--- a/meadowcross/common/settings.py
+++ b/meadowcross/common/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file (TOML) and the operators' settings file (XML), both validated."""
+"""Reads and validates the platform's settings file (TOML) and the operators' settings file (XML)."""
 
 from __future__ import annotations
 
@@ -22,21 +22,27 @@
 
 
 class SettingsError(Exception):
-    """A settings file that can't be used: file, field and what was expected."""
+    """A settings file can't be used. The message has the file, the field and the expected value."""
 
 
 class Peer(Struct, frozen=True):
+    """Another controller of the cluster."""
+
     host_name: _Text
     zone: _Text
     endpoint: _HostPort
 
 
-class Outside(Struct, frozen=True):
+class ExternalServices(Struct, frozen=True):
+    """Addresses of the cloud and of the state service."""
+
     cloud: _HostPort
     state: _HostPort
 
 
 class Team(Struct, frozen=True):
+    """A team with its guarantee and its quota (`*_max`) for CPUs and GPUs."""
+
     name: _Text
     cpus: _NotNegative = 0.0
     cpus_max: _NotNegative = 0.0
@@ -45,7 +51,7 @@
 
 
 class Objective(Struct, frozen=True):
-    """One service-level objective; fields that its kind does not have stay null."""
+    """A service-level objective. Fields that its kind does not use are None."""
 
     kind: _Text
     job_class: str | None = msgspec.field(name="class", default=None)
@@ -56,6 +62,8 @@
 
 
 class WorkerFacts(Struct, frozen=True):
+    """Time limits of workers, cancellations and gangs."""
+
     report_s: _Positive
     lease_s: _Positive
     cancel_s: _Positive
@@ -64,6 +72,8 @@
 
 
 class StateFacts(Struct, frozen=True):
+    """Limits of the state service: requests and writes per second, size of a value, and changes per transaction."""
+
     rps: _Positive
     write_rps: _Positive
     value_kb: _Positive
@@ -71,17 +81,23 @@
 
 
 class CloudFacts(Struct, frozen=True):
+    """Limits of the cloud: requests per second, and the delay until its machine list shows a change."""
+
     rps: _Positive
     list_lag_s: _NotNegative
 
 
 class MachineLimits(Struct, frozen=True):
+    """Resource limits of the controller's own process."""
+
     cpu: _Positive
     mem_mb: _Positive
     fd_limit: _Count
 
 
 class Facts(Struct, frozen=True):
+    """Facts about the cluster, which are the same for all its nodes."""
+
     zones: list[str]
     workers: WorkerFacts
     state: StateFacts
@@ -94,31 +110,34 @@
 
 
 class Settings(Struct, frozen=True):
-    """The file that the platform hands over; unknown fields are ignored."""
+    """The platform's settings file. Unknown fields are ignored."""
 
     host_name: _Text
     zone: _Text
     api_addr: _HostPort
     peer_bind: _HostPort
-    outside: Outside
+    outside: ExternalServices
     facts: Facts
     peers: list[Peer] = []
 
 
 STORED_FORMAT_VERSION = 1
-"""Format of stored records; a node uses no replica or hints written in another format."""
+"""Format of stored records. A node does not use replicas or hints of another format."""
 
 
 def settings_digest(settings: Settings, operator: OperatorSettings) -> str:
-    """Hash by which nodes compare the facts, settings and stored format that their decisions rest on."""
-    # Without `relays`, which changes no decision and which nodes of the version before don't know.
+    """Return a hash of the facts, operators' settings and stored format on which a node's decisions depend.
+
+    Nodes compare their hashes to find out whether they decide alike.
+    """
+    # Without `relays`, which affects no decision and is unknown to nodes of the previous version.
     compared_settings = {name: value for name, value in msgspec.structs.asdict(operator).items() if name != "relays"}
     encoded = msgspec.json.encode([STORED_FORMAT_VERSION, settings.facts, compared_settings])
     return hashlib.sha256(encoded).hexdigest()[:16]
 
 
 def load_settings(path: str) -> Settings:
-    """Read the platform's file. Raises SettingsError."""
+    """Read the platform's settings file. Raises SettingsError."""
     try:
         with open(path, "rb") as file:
             return msgspec.convert(tomllib.load(file), Settings, strict=False)
@@ -129,41 +148,43 @@
 
 
 class RelayMode(Enum):
-    """Whether other controllers relay workers' heartbeats to the leader."""
+    """Whether other controllers relay workers' heartbeats for the leader."""
 
     AUTO = "auto"
-    """Relay when there are more workers than the leader's own sockets serve well."""
+    """Relay only if there are more workers than the leader's sockets can serve."""
     ALWAYS = "always"
     NEVER = "never"
 
 
 DIRECT_WORKERS_PER_SOCKET = 0.43
-"""Workers per socket that a leader serves without relays: each takes one socket for heartbeats and one for commands."""
+"""Workers per socket that a leader serves without relays: each uses one socket for heartbeats and one for commands."""
 RELAYED_WORKERS_PER_SOCKET = 0.75
-"""Workers per socket of a relay, which keeps no command connections; the rest is for users, peers and other workers."""
+"""Workers per socket of a relay, which keeps no command connections. The remaining sockets are for users, peers and
+workers that are not relayed."""
 INBOUND_SOCKET_SHARE = 0.85
-"""Share of a node's sockets for inbound connections; the rest is for the state service, the cloud and commands."""
+"""Share of a node's sockets for inbound connections. The others are for the state service, the cloud and commands."""
 UNLIMITED_SOCKETS = 1_000_000
+"""Allowance of a node whose settings have no socket limit."""
 
 
 def socket_allowance(settings: Settings, share: float) -> int:
-    """`share` of the node's socket limit, as a count."""
+    """Return `share` (0 to 1) of the node's socket limit as a number of sockets."""
     limits = settings.facts.machine_limits
     return int(share * limits.fd_limit) if limits is not None else UNLIMITED_SOCKETS
 
 
 class SettingBounds(NamedTuple):
-    """Unit and bounds of one operator setting, for error messages and documentation."""
+    """Unit and bounds of one operators' setting, for its validation and its error messages."""
 
     unit: str
     low: float
     high: float
-    low_excluded: bool = False
-    whole: bool = False
+    is_low_excluded: bool = False
+    is_whole_number: bool = False
 
 
 class OperatorSettings(Struct, frozen=True):
-    """The operators' settings. Defaults are those of the design, or the project's own where it gives none."""
+    """The operators' settings with their defaults; see SETTING_BOUNDS for units and bounds."""
 
     alpha: float = 0.5
     beta: float = 0.5
@@ -190,7 +211,7 @@
     snapshot_keep: float = 5.0
     snapshot_keep_h: float = 48.0
     snapshot_directory: str = ""
-    """Absolute; empty: no snapshots."""
+    """Absolute path; empty: no snapshots are written or read."""
     relays: RelayMode = RelayMode.AUTO
 
 
@@ -214,21 +235,25 @@
     "drain_after_s": SettingBounds("seconds", 0, 86400),
     "spare_percent": SettingBounds("percent", 0, 1000),
     "learned_estimates": SettingBounds(
-        "0: off, 1: learned and told, 2: used as well; a whole number", 0, 2, whole=True
+        "0: off, 1: learned and told, 2: used as well; a whole number", 0, 2, is_whole_number=True
     ),
     "warm_standby": SettingBounds(
-        "0: off, 1: follows, 2: ends a dead leader's hold as well; a whole number", 0, 2, whole=True
+        "0: off, 1: follows, 2: ends a dead leader's hold as well; a whole number", 0, 2, is_whole_number=True
     ),
     "lost_wait_s": SettingBounds("seconds; 0: for ever", 0, 86400),
     "snapshot_every_s": SettingBounds("seconds", 1, 86400),
-    "snapshot_keep": SettingBounds("full snapshots; a whole number", 1, 1000, whole=True),
+    "snapshot_keep": SettingBounds("full snapshots; a whole number", 1, 1000, is_whole_number=True),
     "snapshot_keep_h": SettingBounds("hours", 0.01, 87600),
 }
+"""Bounds of the numeric settings by their names in OperatorSettings."""
 
 
 def read_xml(path: str, root_name: str) -> Any:
-    """The root element of an operators' file; entities and document types are refused. Raises SettingsError."""
-    # Imported late for start-up time: a node without an operators' file needs no XML parser.
+    """Return the root element of an operators' XML file.
+
+    Raises SettingsError for another root element, and for entities and document types.
+    """
+    # Imported here to keep the start-up time short: a node without an operators' file needs no XML parser.
     from xml.etree.ElementTree import ParseError
 
     from defusedxml import DefusedXmlException
@@ -250,8 +275,11 @@
 def read_plain_elements(
     location: str, element: Any, known_names: Collection[str], list_names: Collection[str] = ()
 ) -> dict[str, Any]:
-    """The texts of an element's plain children, under their names with underscores; those in `lists` are words
-    apart. Raises SettingsError for what is unknown, nested, or given twice."""
+    """Return the texts of an element's plain children by name, with underscores in place of hyphens.
+
+    The text of a name in `list_names` is split into a list of words. Raises SettingsError for children that are
+    unknown, nested, have attributes, or occur twice.
+    """
     values: dict[str, Any] = {}
     for child in element:
         name = child.tag.replace("-", "_")
@@ -265,7 +293,7 @@
 
 
 def load_operator_settings(path: str) -> OperatorSettings:
-    """Read the operators' XML file. Raises SettingsError for unknown elements, values out of bounds and entities."""
+    """Read the operators' XML file. Raises SettingsError, also for unknown elements and values out of bounds."""
     root = read_xml(path, "meadowcross")
     values: dict[str, float] = {}
     snapshot_directory = ""
@@ -281,15 +309,15 @@
                 raise SettingsError(f"{path}: element <relays>: expected auto, always or never")
             relays = RelayMode(text)
             continue
-        bound = SETTING_BOUNDS[name]
+        bounds = SETTING_BOUNDS[name]
         tag = name.replace("_", "-")
-        expected = f"{bound.unit} {'above' if bound.low_excluded else 'from'} {bound.low:g} to {bound.high:g}"
+        expected = f"{bounds.unit} {'above' if bounds.is_low_excluded else 'from'} {bounds.low:g} to {bounds.high:g}"
         try:
             value = float(text)
         except ValueError:
             raise SettingsError(f"{path}: element <{tag}>: expected {expected}") from None
-        is_in_bounds = bound.low <= value <= bound.high and not (bound.low_excluded and value == bound.low)
-        if not is_in_bounds or (bound.whole and value != int(value)):
+        is_in_bounds = bounds.low <= value <= bounds.high and not (bounds.is_low_excluded and value == bounds.low)
+        if not is_in_bounds or (bounds.is_whole_number and value != int(value)):
             raise SettingsError(f"{path}: element <{tag}>: expected {expected}")
         values[name] = value
     operator = OperatorSettings(**values, snapshot_directory=snapshot_directory, relays=relays)
--- a/meadowcross/common/types.py
+++ b/meadowcross/common/types.py
@@ -1,4 +1,4 @@
-"""Identifiers, revisions, tokens and times as distinct types, so that mypy tells them apart."""
+"""Distinct types for identifiers, revisions, tokens and times, so that mypy detects mix-ups."""
 
 from __future__ import annotations
 
@@ -9,47 +9,48 @@
 MachineId = NewType("MachineId", str)
 NodeName = NewType("NodeName", str)
 Address = NewType("Address", str)
-"""host:port, as the settings and the machine list write it."""
+"""`host:port`, as in the settings and in the machine list."""
 FencingToken = NewType("FencingToken", int)
-"""Fencing token of a leader: the store epoch, and the revision at which the leader key was created in it."""
+"""Fencing token of a leader: the store epoch, and the revision at which the leader key was created in that epoch."""
 Attempt = NewType("Attempt", int)
-"""Number of a start of a task, from 1; the tasks of a gang share it."""
+"""Number of an attempt to run a task, from 1; the tasks of a gang have the same number."""
 Revision = NewType("Revision", int)
-"""Revision of a stored key's last change; 0 where the key does not exist."""
+"""Revision of a stored key's last change; 0 if the key does not exist."""
 LeaseId = NewType("LeaseId", int)
-"""Lease of the key-value store: keys attached to it are deleted when it expires."""
+"""Identifies a lease of the store. Keys attached to a lease are deleted when the lease expires."""
 Seconds = float
+"""A duration in seconds."""
 Instant = NewType("Instant", float)
-"""Seconds on this process's clock."""
+"""Time on this process's clock, in seconds."""
 WallTime = NewType("WallTime", float)
-"""Seconds of the time of day, right to within the settings' bound."""
+"""Seconds of the time of day, with an error of at most the setting `clock_off_ms`."""
 
 
 REVISION_BITS = 40
-"""Low bits of a fencing token that hold the revision: about 10^12 changes in one store epoch.
+"""Number of low bits of a fencing token that hold the revision, enough for about 10^12 changes in one store epoch.
 
-The bits above, up to 2^64, hold the store epoch. In the first epoch, number 0, a token equals the revision, as it did
-before epochs existed.
+The higher bits, up to 2^64, hold the store epoch. In epoch 0, the first one, a token equals the revision, as it did in
+versions without store epochs.
 """
 
 
 def compose_token(store_epoch: int, revision: Revision) -> FencingToken:
-    """Token of the leader whose key was created at `revision` in `store_epoch`."""
+    """Return the token of the leader whose key was created at `revision` in `store_epoch`."""
     return FencingToken((store_epoch << REVISION_BITS) + revision)
 
 
 def store_epoch_of(token: FencingToken) -> int:
-    """Store epoch in which the token was issued."""
+    """Return the store epoch in which the token was issued."""
     return token >> REVISION_BITS
 
 
 def revision_of(token: FencingToken) -> Revision:
-    """Revision of the leader key that the token was made from."""
+    """Return the revision of the leader key from which the token was composed."""
     return Revision(token & ((1 << REVISION_BITS) - 1))
 
 
 class TaskId(NamedTuple):
-    """One task of a job, numbered from 0; written `job/number` on the wire."""
+    """A task of a job, numbered from 0. The text form is `job/number`."""
 
     job: JobId
     number: int
@@ -60,21 +61,21 @@
     @staticmethod
     @lru_cache(maxsize=16_384)
     def parse(text: str) -> TaskId:
-        """Read `job/number`; raises ValueError if the number is not an integer."""
-        # Cached: every heartbeat of a machine names each of its running tasks again.
+        """Parse `job/number`. Raises ValueError if the number is not an integer."""
+        # Cached, because every heartbeat of a machine lists each of its running tasks again.
         job, _, number = text.rpartition("/")
         return TaskId(JobId(job), int(number))
 
 
 class HeartbeatVersion(NamedTuple):
-    """Orders the heartbeats of one worker: the larger version is the newer."""
+    """Orders the heartbeats of one worker: the greater version is the newer one."""
 
     incarnation: int
     sequence: int
 
 
 class MachineKind(NamedTuple):
-    """What a scale-out request asks for: machine type, zone, and spot or on-demand."""
+    """Kind of machine that a scale-out request asks for: machine type, zone, and spot or on-demand."""
 
     type: str
     zone: str
@@ -82,4 +83,4 @@
 
 
 EPSILON = 1e-6
-"""Tolerance for sums of decimal amounts held as floats."""
+"""Tolerance for comparing sums of decimal amounts, which floats represent inexactly."""
--- a/tests/common/test_settings.py
+++ b/tests/common/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: what is taken, what is refused, and how it is said."""
+"""Tests of the settings files: accepted and rejected values, and the error messages."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from meadowcross.common.settings import OperatorSettings, SettingsError, load_operator_settings, load_settings
 from meadowcross.controller.main import main
 
-GOOD = """
+VALID_SETTINGS = """
 host_name = "paddock-0"
 zone = "menai"
 api_addr = "10.0.0.1:8080"
@@ -35,12 +35,12 @@
 
 def test_unknown_fields_are_ignored(tmp_path):
     path = tmp_path / "s.toml"
-    path.write_text(GOOD)
+    path.write_text(VALID_SETTINGS)
     assert load_settings(str(path)).facts.workers.cancel_s == 41.0
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "expected_message"),
     [
         ('host_name = "paddock-0"', "", "host_name"),
         ("rps = 200.0", 'rps = "many"', "rps"),
@@ -49,16 +49,16 @@
         ("[facts.cloud]", "[facts.cloud", "s.toml"),
     ],
 )
-def test_bad_settings_end_the_start_with_2_and_one_line(tmp_path, capsys, old, new, says):
+def test_invalid_settings_end_the_start_with_status_2_and_one_line(tmp_path, capsys, old, new, expected_message):
     path = tmp_path / "s.toml"
-    path.write_text(GOOD.replace(old, new))
+    path.write_text(VALID_SETTINGS.replace(old, new))
     assert main(["--config", str(path), "--check"]) == 2
     error = capsys.readouterr().err
-    assert says in error and "s.toml" in error and error.count("\n") == 1
+    assert expected_message in error and "s.toml" in error and error.count("\n") == 1
 
 
 @pytest.mark.parametrize(
-    ("xml", "says"),
+    ("xml", "expected_message"),
     [
         ("<meadowcross><gama>1</gama></meadowcross>", "gama"),
         ("<meadowcross><gamma>much</gamma></meadowcross>", "gamma"),
@@ -71,14 +71,14 @@
         ("<meadowcross>", "well-formed"),
     ],
 )
-def test_operator_settings_refused(tmp_path, xml, says):
+def test_invalid_operator_settings_are_rejected(tmp_path, xml, expected_message):
     path = tmp_path / "o.xml"
     path.write_text(xml)
-    with pytest.raises(SettingsError, match=says):
+    with pytest.raises(SettingsError, match=expected_message):
         load_operator_settings(str(path))
 
 
-def test_operator_settings_taken(tmp_path):
+def test_valid_operator_settings_are_loaded(tmp_path):
     path = tmp_path / "o.xml"
     path.write_text("<meadowcross><alpha>0.7</alpha><beta>0.3</beta><move-period-s>5</move-period-s></meadowcross>")
     assert load_operator_settings(str(path)) == OperatorSettings(alpha=0.7, beta=0.3, move_period_s=5.0)
