--- a/benchmarks/tickets.py
+++ b/benchmarks/tickets.py
@@ -34,52 +34,57 @@
 
 
 def measure(count: int) -> Cost:
-    from meadowcross.openjd import records as r
-    from tests.openjd.test_gateway import CHAIN, Farm
+    from meadowcross.openjd import records
+    from tests.openjd.test_gateway import CHAIN, GatewayCluster
 
-    farm = Farm(3)
-    for gateway in farm.gateways.values():
-        gateway.intake._rate = 1e6
-        gateway.intake._all._burst = gateway.intake._all._available = 1e6
+    cluster = GatewayCluster(3)
+    for gateway in cluster.gateways.values():
+        gateway.api._tickets_per_s = 1e6
+        gateway.api._total_bucket._burst = gateway.api._total_bucket._available = 1e6
     accept = HdrHistogram(1, 60_000_000, 3)
     ids = []
-    names = list(farm.gateways)
+    names = list(cluster.gateways)
     for number in range(count):
         began = time.process_time_ns()
-        status, said = farm.submit(CHAIN, f"k{number}", names[number % 3])
+        status, said = cluster.submit(CHAIN, f"k{number}", names[number % 3])
         accept.record_value(max(1, (time.process_time_ns() - began) // 1000))
         assert status == 201, said
-        ids.append(r.TicketId(said["id"]))
+        ids.append(records.TicketId(said["id"]))
     began_cpu = time.process_time()
-    farm.pass_time(5.0)
-    victim = farm.gateways["g0"]
-    lost = set(victim.driver.open)
-    marks = {ticket: farm.state.keys[r.open_key(ticket)]["mark"] for ticket in lost}
-    driven = [gateway.controllers for gateway in farm.gateways.values()]
-    farm.kill("g0")
-    killed = farm.clock.seconds()
+    cluster.pass_time(5.0)
+    victim = cluster.gateways["g0"]
+    lost = set(victim.driver.open_tickets)
+    marks = {ticket: cluster.state.keys[records.open_key(ticket)]["mark"] for ticket in lost}
+    driven = [gateway.controllers for gateway in cluster.gateways.values()]
+    cluster.kill_gateway("g0")
+    killed = cluster.clock.seconds()
     first = half = 0.0
-    while farm.clock.seconds() - killed < 600 and any(key.startswith(r.OPEN) for key in farm.state.keys):
-        farm.nodes.finish()
-        farm.pass_time(0.5)
+    while cluster.clock.seconds() - killed < 600 and any(
+        key.startswith(records.OPEN_PREFIX) for key in cluster.state.keys
+    ):
+        cluster.controllers.finish_jobs()
+        cluster.pass_time(0.5)
         if not half:
             moved = sum(
-                r.open_key(ticket) not in farm.state.keys or farm.state.keys[r.open_key(ticket)]["mark"] != mark
+                records.open_key(ticket) not in cluster.state.keys
+                or cluster.state.keys[records.open_key(ticket)]["mark"] != mark
                 for ticket, mark in marks.items()
             )
-            took = farm.clock.seconds() - killed
+            took = cluster.clock.seconds() - killed
             first = first or (took if moved else 0.0)
             half = took if 2 * moved >= len(lost) else 0.0
-    assert len(set(farm.nodes.submitted)) == len(farm.nodes.submitted) == 3 * count, "a job twice, or none"
-    changed = [event.get("write") or event["drop"] for event in farm.state.log]
-    state = [call for call in farm.net.calls if call[1].startswith("s:1")]
+    assert len(set(cluster.controllers.submitted)) == len(cluster.controllers.submitted) == 3 * count, (
+        "a job twice, or none"
+    )
+    changed = [event.get("write") or event["drop"] for event in cluster.state.log]
+    state = [call for call in cluster.net.calls if call[1].startswith("s:1")]
     return Cost(
         count,
         accept.get_value_at_percentile(50) / 1000,
         accept.get_value_at_percentile(99) / 1000,
         round(1000 * (time.process_time() - began_cpu) / count, 2),
         round(len(state) / count, 1),
-        round(sum(key.startswith(r.PREFIX) for key in changed) / count, 1),
+        round(sum(key.startswith(records.KEY_PREFIX) for key in changed) / count, 1),
         round(sum(one.requests for one in driven) / count, 1),
         sum(one.retried for one in driven),
         len(lost),
--- a/meadowcross/cli.py
+++ b/meadowcross/cli.py
@@ -39,9 +39,11 @@
     snapshots.add_subcommands(
         commands.add_parser("snapshot", help="snapshots of the state service: list, verify, restore")
     )
-    tickets.add(commands.add_parser("ticket", help="render-farm job tickets: check, explain, submit, status, cancel"))
-    tickets.add_keys(commands.add_parser("keys", help="a site's own authority: init, issue, list, revoke"))
-    tickets.add_service(commands.add_parser("tickets", help="the ticket gateway: serve"))
+    tickets.add_ticket_commands(
+        commands.add_parser("ticket", help="render-farm job tickets: check, explain, submit, status, cancel")
+    )
+    tickets.add_key_commands(commands.add_parser("keys", help="a site's own authority: init, issue, list, revoke"))
+    tickets.add_gateway_commands(commands.add_parser("tickets", help="the ticket gateway: serve"))
     return options
 
 
--- a/meadowcross/openjd/cli.py
+++ b/meadowcross/openjd/cli.py
@@ -1,4 +1,4 @@
-"""`meadowcross ticket` for submitters, `meadowcross tickets` for a site."""
+"""The commands `ticket` (for submitters), `tickets` (runs a gateway) and `keys` (a site's certificate authority)."""
 
 from __future__ import annotations
 
@@ -6,10 +6,12 @@
 import sys
 from collections.abc import Callable
 
-PERMISSIVE = "anyone"
+PERMISSIVE_SUBMITTER = "anyone"
+"""Name of the submitter with wide limits that `check` and `explain` use without a site's file."""
 
 
-def add(options: argparse.ArgumentParser) -> None:
+def add_ticket_commands(options: argparse.ArgumentParser) -> None:
+    """Add the actions of `meadowcross ticket` to its parser."""
     commands = options.add_subparsers(metavar="ACTION", required=True)
     for name, act, text in (
         ("check", _check, "whether the ticket can be taken"),
@@ -41,7 +43,8 @@
         command.set_defaults(act=act)
 
 
-def add_service(options: argparse.ArgumentParser) -> None:
+def add_gateway_commands(options: argparse.ArgumentParser) -> None:
+    """Add the actions of `meadowcross tickets` to its parser."""
     commands = options.add_subparsers(metavar="ACTION", required=True)
     serve = commands.add_parser("serve", help="run a gateway")
     serve.add_argument("--config", metavar="FILE", required=True, help="the gateway's settings (XML)")
@@ -49,7 +52,8 @@
     serve.set_defaults(act=_serve)
 
 
-def add_keys(options: argparse.ArgumentParser) -> None:
+def add_key_commands(options: argparse.ArgumentParser) -> None:
+    """Add the actions of `meadowcross keys` to its parser."""
     commands = options.add_subparsers(metavar="ACTION", required=True)
     init = commands.add_parser("init", help="make a site's own small authority")
     init.add_argument("--site", metavar="NAME", default="site")
@@ -60,20 +64,22 @@
         command.add_argument("--days", metavar="N", type=int, default=days, help=f"valid for (default: {days})")
     revoke = commands.add_parser("revoke", help="make gateways refuse a certificate")
     revoke.add_argument("name", metavar="NAME")
-    listed = commands.add_parser("list", help="what was issued")
-    listed.add_argument("--json", action="store_true")
-    for command, act in ((init, _keys_init), (issue, _keys_issue), (revoke, _keys_revoke), (listed, _keys_list)):
+    list_command = commands.add_parser("list", help="what was issued")
+    list_command.add_argument("--json", action="store_true")
+    for command, act in ((init, _keys_init), (issue, _keys_issue), (revoke, _keys_revoke), (list_command, _keys_list)):
         command.add_argument("--directory", metavar="DIR", required=True, help="the authority's")
-        command.set_defaults(act=_with_keys(act))
+        command.set_defaults(act=_with_credential_errors(act))
 
 
-def _with_keys(act: Callable[[argparse.Namespace], None]) -> Callable[[argparse.Namespace], int]:
+def _with_credential_errors(act: Callable[[argparse.Namespace], None]) -> Callable[[argparse.Namespace], int]:
+    """Make an action print a CredentialError as one line and return the exit status."""
+
     def run(options: argparse.Namespace) -> int:
-        from meadowcross.openjd.keys import KeyTrouble
+        from meadowcross.openjd.keys import CredentialError
 
         try:
             act(options)
-        except KeyTrouble as error:
+        except CredentialError as error:
             print(f"meadowcross keys: {error}", file=sys.stderr)
             return 2
         return 0
@@ -89,9 +95,9 @@
 
 
 def _keys_issue(options: argparse.Namespace) -> None:
-    from meadowcross.openjd.keys import SERVER, SUBMITTER, Authority
+    from meadowcross.openjd.keys import SERVER_KIND, SUBMITTER_KIND, Authority
 
-    kind = SERVER if options.host else SUBMITTER
+    kind = SERVER_KIND if options.host else SUBMITTER_KIND
     path = Authority(options.directory).issue(options.name, kind, options.days, options.host or ())
     print(f"{path}.pem and {path}.key: a {kind}'s, for {options.days} days")
 
@@ -111,88 +117,90 @@
     if options.json:
         print(msgspec.json.format(msgspec.json.encode(issued)).decode())
         return
-    for one in issued:
-        print(f"{one.name:32} {one.kind:10} until {one.until}  {one.serial}{'  revoked' if one.revoked else ''}")
+    for entry in issued:
+        print(
+            f"{entry.name:32} {entry.kind:10} until {entry.until}  {entry.serial}{'  revoked' if entry.revoked else ''}"
+        )
 
 
 def _serve(options: argparse.Namespace) -> int:
     from meadowcross.common.settings import SettingsError
     from meadowcross.openjd.gateway import load_gateway, serve
-    from meadowcross.openjd.keys import KeyTrouble
-    from meadowcross.openjd.site import load
+    from meadowcross.openjd.keys import CredentialError
+    from meadowcross.openjd.site import load_site
 
     try:
         if options.check:
             settings = load_gateway(options.config)
-            count = len(load(settings.site).submitters)
+            count = len(load_site(settings.site).submitters)
             print(f"{options.config}: good, gateway {settings.name}, {count} submitters")
             return 0
         return serve(options.config)
-    except (SettingsError, KeyTrouble) as error:
-        return _say(str(error))
+    except (SettingsError, CredentialError) as error:
+        return _fail(str(error))
 
 
 def _submit(options: argparse.Namespace) -> int:
     import msgspec
 
-    parameters = _parameters(options.parameter)
+    parameters = _parse_parameters(options.parameter)
     if isinstance(parameters, str):
-        return _say(parameters)
+        return _fail(parameters)
     try:
         with open(options.file, "rb") as file:
             document = file.read(1024 * 1024).decode()
     except OSError as error:
-        return _say(f"{options.file}: can't be read: {error.strerror}")
+        return _fail(f"{options.file}: can't be read: {error.strerror}")
     except UnicodeDecodeError as error:
-        return _say(f"{options.file}: document: not UTF-8 at byte {error.start}")
+        return _fail(f"{options.file}: document: not UTF-8 at byte {error.start}")
     body = msgspec.json.encode({"key": options.key, "document": document, "parameters": parameters})
-    return _ask(options, "POST", f"/v1/submitters/{options.submitter}/tickets", body)
+    return _request(options, "POST", f"/v1/submitters/{options.submitter}/tickets", body)
 
 
 def _status(options: argparse.Namespace) -> int:
     path = f"/v1/submitters/{options.submitter}/tickets"
-    return _ask(options, "GET", f"{path}/{options.id}" if options.id else path, None)
+    return _request(options, "GET", f"{path}/{options.id}" if options.id else path, None)
 
 
 def _cancel(options: argparse.Namespace) -> int:
-    return _ask(options, "POST", f"/v1/submitters/{options.submitter}/tickets/{options.id}/cancel", b"{}")
+    return _request(options, "POST", f"/v1/submitters/{options.submitter}/tickets/{options.id}/cancel", b"{}")
 
 
-def _ask(options: argparse.Namespace, method: str, path: str, body: bytes | None) -> int:
-    """One request to the gateway; what it refuses is told in one line."""
+def _request(options: argparse.Namespace, method: str, path: str, body: bytes | None) -> int:
+    """Send one request to the gateway, and print the response, or its error in one line."""
     import msgspec
 
     from meadowcross.common.reactor_runner import run_until_complete
-    from meadowcross.openjd.asking import NoAnswer, ask
-    from meadowcross.openjd.keys import KeyTrouble
+    from meadowcross.openjd.client import GatewayUnavailableError, send_request
+    from meadowcross.openjd.keys import CredentialError
 
     try:
-        status, answer = run_until_complete(ask(options, method, path, body))
-    except (NoAnswer, KeyTrouble) as error:
-        return _say(str(error))
+        status, response_body = run_until_complete(send_request(options, method, path, body))
+    except (GatewayUnavailableError, CredentialError) as error:
+        return _fail(str(error))
     if status not in (200, 201):
-        told = msgspec.json.decode(answer, type=dict[str, str]) if answer.startswith(b"{") else {}
-        field = f"{told['field']}: " if "field" in told else ""
-        return _say(f"{field}{told.get('error', told.get('reason', ''))} ({status})")
+        rejection = msgspec.json.decode(response_body, type=dict[str, str]) if response_body.startswith(b"{") else {}
+        field = f"{rejection['field']}: " if "field" in rejection else ""
+        return _fail(f"{field}{rejection.get('error', rejection.get('reason', ''))} ({status})")
     if options.json:
-        print(answer.decode().strip())
+        print(response_body.decode().strip())
         return 0
-    said = msgspec.json.decode(answer)
-    for ticket in said.get("tickets", [said]):
+    result = msgspec.json.decode(response_body)
+    for ticket in result.get("tickets", [result]):
         print(f"{ticket['id']} {ticket['state']}: {ticket['name']}")
         for step in ticket["steps"]:
-            why = f" ({step['why']})" if "why" in step else ""
-            print(f"  {step['name']}: {step['tasks']} tasks, {step['state']}{why} {step.get('job', '')}".rstrip())
+            reason = f" ({step['why']})" if "why" in step else ""
+            print(f"  {step['name']}: {step['tasks']} tasks, {step['state']}{reason} {step.get('job', '')}".rstrip())
     return 0
 
 
-def _parameters(given: list[str]) -> dict[str, str] | str:
-    """The parameters, or what is wrong with one."""
+def _parse_parameters(arguments: list[str]) -> dict[str, str] | str:
+    """Parse `NAME=VALUE` arguments; the result is an error message if one is wrong."""
     parameters: dict[str, str] = {}
-    for one in given:
-        name, equals, value = one.partition("=")
+    for argument in arguments:
+        name, equals, value = argument.partition("=")
         if not equals or not name:
-            return f"-p {one[:60]}: expected NAME=VALUE"
+            return f"-p {argument[:60]}: expected NAME=VALUE"
         if name in parameters:
             return f"-p {name[:60]}: given twice"
         parameters[name] = value
@@ -200,51 +208,53 @@
 
 
 def _check(options: argparse.Namespace) -> int:
-    return _planned(options, explain=False)
+    return _plan(options, explain=False)
 
 
 def _explain(options: argparse.Namespace) -> int:
-    return _planned(options, explain=True)
+    return _plan(options, explain=True)
 
 
-def _say(text: str) -> int:
+def _fail(text: str) -> int:
+    """Print an error in one line, and return the exit status."""
     print(f"meadowcross ticket: {text}", file=sys.stderr)
     return 2
 
 
-def _planned(options: argparse.Namespace, explain: bool) -> int:
+def _plan(options: argparse.Namespace, explain: bool) -> int:
+    """Plan a ticket, and print that it is good, or with `explain` its native jobs."""
     import msgspec
 
     from meadowcross.common.settings import SettingsError
     from meadowcross.jobs.messages import Priority
-    from meadowcross.openjd.plan import plan_of
-    from meadowcross.openjd.reading import TicketError
-    from meadowcross.openjd.site import Site, Submitter, load
+    from meadowcross.openjd.plan import build_plan
+    from meadowcross.openjd.site import Site, Submitter, load_site
+    from meadowcross.openjd.template import TicketError
 
-    parameters = _parameters(options.parameter)
+    parameters = _parse_parameters(options.parameter)
     if isinstance(parameters, str):
-        return _say(parameters)
+        return _fail(parameters)
     try:
         if options.site is not None:
-            site = load(options.site)
+            site = load_site(options.site)
         else:
-            site = Site([Submitter(PERMISSIVE, "any", "any", Priority.NORMAL, "any", max_gpus=64.0)])
+            site = Site([Submitter(PERMISSIVE_SUBMITTER, "any", "any", Priority.NORMAL, "any", max_gpus=64.0)])
     except SettingsError as error:
-        return _say(str(error))
+        return _fail(str(error))
     name = options.submitter or (site.submitters[0].name if len(site.submitters) == 1 else None)
-    submitter = site.named(name) if name is not None else None
+    submitter = site.find_submitter(name) if name is not None else None
     if submitter is None:
-        known = ", ".join(one.name for one in site.submitters)
-        return _say(f"--submitter {name}: unknown" if name else f"--submitter: say which of {known}")
+        known_names = ", ".join(entry.name for entry in site.submitters)
+        return _fail(f"--submitter {name}: unknown" if name else f"--submitter: say which of {known_names}")
     try:
         with open(options.file, "rb") as file:
             raw = file.read(1024 * 1024)
     except OSError as error:
-        return _say(f"{options.file}: can't be read: {error.strerror}")
+        return _fail(f"{options.file}: can't be read: {error.strerror}")
     try:
-        plan = plan_of(raw, parameters, submitter)
+        plan = build_plan(raw, parameters, submitter)
     except TicketError as error:
-        return _say(f"{options.file}: {error}")
+        return _fail(f"{options.file}: {error}")
     if options.json:
         print(msgspec.json.format(msgspec.json.encode(plan)).decode())
     elif not explain:
@@ -252,10 +262,10 @@
     else:
         print(f"{plan.name}: as {plan.submitter}, team {plan.team}, class {plan.job_class}, {plan.priority}")
         for number, step in enumerate(plan.steps):
-            after = ", ".join(plan.steps[one].name for one in step.after) or "at once"
-            bound = " ".join([*(step.types or []), *([step.zone] if step.zone else [])]) or "any machine"
+            after = ", ".join(plan.steps[dependency].name for dependency in step.dependencies) or "at once"
+            machines = " ".join([*(step.types or []), *([step.zone] if step.zone else [])]) or "any machine"
             print(
                 f"  {number} {step.name}: {step.tasks} tasks of {step.cpus:g} CPUs, {step.gpus:g} GPUs,"
-                f" {step.memory_gb:g} GB on {bound}; after: {after}; kept: {'; '.join(step.kept)}"
+                f" {step.memory_gb:g} GB on {machines}; after: {after}; kept: {'; '.join(step.preserved)}"
             )
     return 0
--- a/meadowcross/openjd/asking.py
+++ b/meadowcross/openjd/client.py
@@ -1,4 +1,4 @@
-"""A submitter's request to a gateway: plain on loopback, signed, or over TLS with a certificate."""
+"""Sends a submitter's request to a gateway: unsigned on loopback, signed, or over TLS with a client certificate."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from twisted.web.http_headers import Headers
 
 from meadowcross.common.types import Seconds
-from meadowcross.openjd.keys import KeyTrouble, read_private, read_public
+from meadowcross.openjd.keys import CredentialError, read_private, read_public
 from meadowcross.openjd.signing import secret_of, signature
 
-WITHIN_S: Seconds = 10.0
+REQUEST_TIMEOUT_S: Seconds = 10.0
 
 
-class NoAnswer(Exception):
-    """No answer in time, or no connection, or one that proved to be somebody else's."""
+class GatewayUnavailableError(Exception):
+    """No response in time, no connection, or a server whose certificate isn't trusted."""
 
 
-def _tls(authority: str, certificate: str | None) -> Any:
-    """What to trust, and what to show. Raises KeyTrouble."""
+def _tls_policy(authority: str, certificate: str | None) -> Any:
+    """The TLS policy of a client that trusts `authority` and presents `certificate`, if any. Raises CredentialError."""
     from twisted.internet import ssl
     from twisted.web.client import BrowserLikePolicyForHTTPS
 
@@ -33,7 +33,7 @@
             key = read_private(f"{certificate.removesuffix('.pem')}.key")
             own = ssl.PrivateCertificate.loadPEM(read_public(certificate) + key)
     except SSLError as error:
-        raise KeyTrouble(f"{authority}: no certificate: {error}") from error
+        raise CredentialError(f"{authority}: no certificate: {error}") from error
 
     class Policy(BrowserLikePolicyForHTTPS):
         def creatorForNetloc(self, hostname: bytes, port: int) -> Any:
@@ -42,8 +42,11 @@
     return Policy()
 
 
-async def ask(options: argparse.Namespace, method: str, path: str, body: bytes | None) -> tuple[int, bytes]:
-    """Status and body. Raises NoAnswer, KeyTrouble."""
+async def send_request(options: argparse.Namespace, method: str, path: str, body: bytes | None) -> tuple[int, bytes]:
+    """Send a request with the credentials that the options name, and return the response's status and body.
+
+    Raises GatewayUnavailableError and CredentialError.
+    """
     from io import BytesIO
 
     from twisted.internet import reactor
@@ -55,19 +58,21 @@
         signed = signature(secret_of(options.secret), method, path, options.submitter, time.time(), content)
         headers.addRawHeader("authorization", signed)
     if options.authority is not None:
-        agent = Agent(clock, _tls(options.authority, options.certificate), connectTimeout=WITHIN_S / 2)
+        agent = Agent(clock, _tls_policy(options.authority, options.certificate), connectTimeout=REQUEST_TIMEOUT_S / 2)
     else:
-        agent = Agent(clock, connectTimeout=WITHIN_S / 2)
+        agent = Agent(clock, connectTimeout=REQUEST_TIMEOUT_S / 2)
     url = f"{'https' if options.authority is not None else 'http'}://{options.gateway}{path}"
     producer: Any = FileBodyProducer(BytesIO(content)) if body is not None else None
     try:
         request = agent.request(method.encode(), url.encode(), headers, producer)
-        request.addTimeout(WITHIN_S, clock)
+        request.addTimeout(REQUEST_TIMEOUT_S, clock)
         response = await request
-        answer = readBody(response)
-        answer.addTimeout(WITHIN_S, clock)
-        return response.code, await answer
+        pending_body = readBody(response)
+        pending_body.addTimeout(REQUEST_TIMEOUT_S, clock)
+        return response.code, await pending_body
     except Exception as error:
-        told = getattr(error, "reasons", None)
-        first = told[0].value if told else error
-        raise NoAnswer(f"the gateway at {options.gateway} gives no answer: {type(first).__name__} {first}") from error
+        reasons = getattr(error, "reasons", None)
+        cause = reasons[0].value if reasons else error
+        raise GatewayUnavailableError(
+            f"the gateway at {options.gateway} gives no answer: {type(cause).__name__} {cause}"
+        ) from error
--- a/tests/openjd/test_job_templates.py
+++ b/tests/openjd/test_job_templates.py
@@ -1,4 +1,4 @@
-"""Tickets: what is read, what is refused and by which field, what native jobs they become."""
+"""Job templates: parsing, rejections that name the field, and the mapping of steps to native jobs."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 from meadowcross.autoscaling.messages import decode_machine_types
 from meadowcross.cli import main
 from meadowcross.common.settings import SettingsError, Team
-from meadowcross.jobs import messages as jm
+from meadowcross.jobs import messages as job_messages
 from meadowcross.jobs.admission import rejection_reason
 from meadowcross.jobs.messages import decode_spec, encode
-from meadowcross.openjd.plan import native, plan_of
-from meadowcross.openjd.reading import MAX_BYTES, TicketError, job_of, task_parameters
-from meadowcross.openjd.site import load
+from meadowcross.openjd.plan import build_job_spec, build_plan
+from meadowcross.openjd.site import load_site
+from meadowcross.openjd.template import MAX_BYTES, TicketError, create_job, task_parameters
 from simulation.standins import TYPES
 from tests.support.paths import ROOT
 
-SITE = load(str(ROOT / "deploy" / "tickets.xml"))
+SITE = load_site(str(ROOT / "deploy" / "tickets.xml"))
 AGENCY = SITE.submitters[0]
 EXAMPLES = sorted((ROOT / "examples" / "tickets").iterdir())
-KINDS = decode_machine_types(encode({"builds": TYPES})).types
-LONG = int(os.environ.get("MEADOWCROSS_EXAMPLES", "0"))
+MACHINE_TYPES = decode_machine_types(encode({"builds": TYPES})).types
+EXTENDED_EXAMPLES = int(os.environ.get("MEADOWCROSS_EXAMPLES", "0"))
 
-HEAD = "specificationVersion: jobtemplate-2023-09\nname: x\n"
-RUN = "  script: {actions: {onRun: {command: echo}}}\n"
-STEP = "steps:\n- name: a\n" + RUN
+HEADER = "specificationVersion: jobtemplate-2023-09\nname: x\n"
+SCRIPT = "  script: {actions: {onRun: {command: echo}}}\n"
+STEP = "steps:\n- name: a\n" + SCRIPT
 
 
-def acceptable(plan):
-    """Every step's job is one that a controller takes."""
+def assert_acceptable(plan):
+    """Check that a controller would accept the job of every step, and return the plan."""
     for number in range(len(plan.steps)):
-        spec = decode_spec(encode(native(plan, number, f"wk-{number:06d}", AGENCY)))
-        assert rejection_reason(spec, {"b": Team("b")}, KINDS, ["east", "west"]) is None
-        assert (spec.team, spec.job_class, spec.priority) == ("b", "thumbnail", jm.Priority.NORMAL)
+        spec = decode_spec(encode(build_job_spec(plan, number, f"wk-{number:06d}", AGENCY)))
+        assert rejection_reason(spec, {"b": Team("b")}, MACHINE_TYPES, ["east", "west"]) is None
+        assert (spec.team, spec.job_class, spec.priority) == ("b", "thumbnail", job_messages.Priority.NORMAL)
     return plan
 
 
-SHAPES = {
-    # example: tasks of each step, and what each waits for
+EXPECTED_STEPS = {
+    # example: number of tasks of each step, and the dependencies of each step
     "01-one-step.yaml": ([1], [[]]),
     "02-frames.yaml": ([100], [[]]),
     "03-chunks.yaml": ([20], [[]]),
@@ -59,9 +59,9 @@
 
 
 @pytest.mark.parametrize("file", EXAMPLES, ids=[file.name for file in EXAMPLES])
-def test_every_example_becomes_jobs_that_controllers_take(file, capsys):
-    plan = acceptable(plan_of(file.read_bytes(), {}, AGENCY))
-    assert ([s.tasks for s in plan.steps], [s.after for s in plan.steps]) == SHAPES[file.name]
+def test_every_example_maps_to_acceptable_jobs(file, capsys):
+    plan = assert_acceptable(build_plan(file.read_bytes(), {}, AGENCY))
+    assert ([s.tasks for s in plan.steps], [s.dependencies for s in plan.steps]) == EXPECTED_STEPS[file.name]
     arguments = [str(file), "--site", str(ROOT / "deploy" / "tickets.xml")]
     assert main(["ticket", "check", *arguments]) == 0 and main(["ticket", "explain", *arguments]) == 0
     assert plan.name in capsys.readouterr().out
@@ -69,14 +69,24 @@
     assert json.loads(capsys.readouterr().out)["team"] == "b"
 
 
-def test_what_a_step_asks_for_is_what_its_job_gets():
-    host = plan_of((ROOT / "examples/tickets/08-host.yaml").read_bytes(), {}, AGENCY).steps[0]
-    assert (host.cpus, host.memory_gb, host.gpus, host.types, host.zone) == (4.0, 8.0, 0.0, None, None)
-    bound = plan_of((ROOT / "examples/tickets/09-zone-and-type.yaml").read_bytes(), {}, AGENCY)
-    spec = native(bound, 0, "wk-000001", AGENCY)
+def test_host_requirements_are_applied_to_the_job():
+    with_host_requirements = build_plan((ROOT / "examples/tickets/08-host.yaml").read_bytes(), {}, AGENCY).steps[0]
+    assert (
+        with_host_requirements.cpus,
+        with_host_requirements.memory_gb,
+        with_host_requirements.gpus,
+        with_host_requirements.types,
+        with_host_requirements.zone,
+    ) == (4.0, 8.0, 0.0, None, None)
+    zone_and_types = build_plan((ROOT / "examples/tickets/09-zone-and-type.yaml").read_bytes(), {}, AGENCY)
+    spec = build_job_spec(zone_and_types, 0, "wk-000001", AGENCY)
     assert (spec.types, spec.zone, spec.cpus, spec.memory_gb) == (["small", "large"], "east", 1.0, 2.0)
-    kept = plan_of((ROOT / "examples/tickets/10-files-and-environment.yaml").read_bytes(), {}, AGENCY).steps[0].kept
-    assert kept == ["script", "environments Tools", "files Script", "timeout 600 s"]
+    preserved = (
+        build_plan((ROOT / "examples/tickets/10-files-and-environment.yaml").read_bytes(), {}, AGENCY)
+        .steps[0]
+        .preserved
+    )
+    assert preserved == ["script", "environments Tools", "files Script", "timeout 600 s"]
 
 
 @pytest.mark.parametrize(
@@ -88,92 +98,166 @@
         ("01-one-step.yaml", 0, {}),
     ],
 )
-def test_a_tasks_parameters_follow_from_its_number(file, number, parameters):
-    job = job_of((ROOT / "examples/tickets" / file).read_bytes(), {})
+def test_task_parameters_are_computed_from_the_task_number(file, number, parameters):
+    job = create_job((ROOT / "examples/tickets" / file).read_bytes(), {})
     assert task_parameters(job.steps[0], number) == parameters
 
 
-def ranged(first, second="1"):
+def template_with_ranges(first, second="1"):
     return (
-        HEAD + "steps:\n- name: a\n  parameterSpace:\n    taskParameterDefinitions:\n"
-        f'    - {{name: F, type: INT, range: "{first}"}}\n    - {{name: G, type: INT, range: "{second}"}}\n' + RUN
+        HEADER + "steps:\n- name: a\n  parameterSpace:\n    taskParameterDefinitions:\n"
+        f'    - {{name: F, type: INT, range: "{first}"}}\n    - {{name: G, type: INT, range: "{second}"}}\n' + SCRIPT
     )
 
 
-def asking(amounts="", attributes=""):
-    inside = f"amounts: [{amounts}]" if amounts else f"attributes: [{attributes}]"
-    return HEAD + "steps:\n- name: a\n  hostRequirements:\n    " + inside + "\n" + RUN
+def template_with_requirements(amounts="", attributes=""):
+    requirements = f"amounts: [{amounts}]" if amounts else f"attributes: [{attributes}]"
+    return HEADER + "steps:\n- name: a\n  hostRequirements:\n    " + requirements + "\n" + SCRIPT
 
 
-BOUNDED = HEAD + "parameterDefinitions:\n- {name: N, type: INT, maxValue: 5}\n" + STEP
-REFUSED = [
-    # name, document, parameters, field, a word of what is wrong
+TEMPLATE_WITH_PARAMETER = HEADER + "parameterDefinitions:\n- {name: N, type: INT, maxValue: 5}\n" + STEP
+REJECTED_TICKETS = [
+    # name, document, parameters, expected field, a word of the expected reason
     ("not YAML", "a: [1", {}, "document", ""),
     ("a list", "[1, 2]", {}, "document", ""),
     ("empty", "", {}, "document", ""),
     ("no text", b"\xff\xfe", {}, "document", "UTF-8"),
-    ("too large", HEAD + "# " + "x" * MAX_BYTES, {}, "document", "at most"),
-    ("an alias", HEAD + "description: &a x\n" + STEP, {}, "line 3", "aliases"),
+    ("too large", HEADER + "# " + "x" * MAX_BYTES, {}, "document", "at most"),
+    ("an alias", HEADER + "description: &a x\n" + STEP, {}, "line 3", "aliases"),
     ("a bomb", "a: &a [x,x]\nb: &b [*a,*a]\nc: [*b,*b]\n", {}, "line 1", "aliases"),
-    ("a tag", HEAD + "description: !!python/object:os.system x\n" + STEP, {}, "line 3", "tag"),
-    ("two documents", HEAD + STEP + "---\n" + HEAD + STEP, {}, "line", "second"),
-    ("a key twice", HEAD + "name: y\n" + STEP, {}, "line 3", "twice"),
+    ("a tag", HEADER + "description: !!python/object:os.system x\n" + STEP, {}, "line 3", "tag"),
+    ("two documents", HEADER + STEP + "---\n" + HEADER + STEP, {}, "line", "second"),
+    ("a key twice", HEADER + "name: y\n" + STEP, {}, "line 3", "twice"),
     ("a key twice in JSON", '{"name": "a", "name": "b"}', {}, "document", "twice"),
     ("deep", "a: " + "[" * 40 + "]" * 40, {}, "line 1", "deeper"),
     ("deep JSON", '{"a": ' + "[" * 9000 + "]" * 9000 + "}", {}, "document", ""),
     ("another version", "specificationVersion: jobtemplate-2029-01\nname: x\n", {}, "specificationVersion", "2023-09"),
     ("an environment", "specificationVersion: environment-2023-09\n", {}, "specificationVersion", "expected"),
-    ("an unknown extension", HEAD + "extensions: [NONSENSE]\n" + STEP, {}, "extensions", "NONSENSE"),
-    ("an unknown field", HEAD + STEP + "  colour: red\n", {}, "steps[0].colour", "not permitted"),
-    ("a wrong type", HEAD + "steps: 3\n", {}, "steps", ""),
-    ("no steps", HEAD + "steps: []\n", {}, "steps", ""),
-    ("many steps", HEAD + "steps:\n" + "".join(f"- name: s{i}\n{RUN}" for i in range(65)), {}, "steps", "at most"),
-    ("no command", HEAD + "steps:\n- name: a\n  script: {actions: {onRun: {}}}\n", {}, "command", "required"),
+    ("an unknown extension", HEADER + "extensions: [NONSENSE]\n" + STEP, {}, "extensions", "NONSENSE"),
+    ("an unknown field", HEADER + STEP + "  colour: red\n", {}, "steps[0].colour", "not permitted"),
+    ("a wrong type", HEADER + "steps: 3\n", {}, "steps", ""),
+    ("no steps", HEADER + "steps: []\n", {}, "steps", ""),
+    ("many steps", HEADER + "steps:\n" + "".join(f"- name: s{i}\n{SCRIPT}" for i in range(65)), {}, "steps", "at most"),
+    ("no command", HEADER + "steps:\n- name: a\n  script: {actions: {onRun: {}}}\n", {}, "command", "required"),
     (
         "a cycle",
-        HEAD
+        HEADER
         + "steps:\n- name: a\n  dependencies: [{dependsOn: b}]\n"
-        + RUN
+        + SCRIPT
         + "- name: b\n  dependencies: [{dependsOn: a}]\n"
-        + RUN,
+        + SCRIPT,
         {},
         "steps",
         "cycle",
     ),
-    ("itself", HEAD + "steps:\n- name: a\n  dependencies: [{dependsOn: a}]\n" + RUN, {}, "steps[0]", "itself"),
-    ("an unknown step", HEAD + "steps:\n- name: a\n  dependencies: [{dependsOn: b}]\n" + RUN, {}, "steps[0]", "'b'"),
-    ("no tasks", ranged(""), {}, "range", ""),
-    ("a billion billion tasks", ranged("1-1000000000", "1-1000000000"), {}, "steps[0].parameterSpace", "may have 1000"),
-    ("more than can be counted", ranged("1-9000000000000", "1-9000000000000"), {}, "steps[0].parameterSpace", ""),
-    ("a parameter too large", BOUNDED, {"N": "9"}, "parameters.N", "at most 5"),
-    ("a parameter missing", BOUNDED, {}, "parameters", "N"),
-    ("a parameter too many", HEAD + STEP, {"Z": "1"}, "parameters", "Z"),
-    ("a maximum", asking("{name: amount.worker.vcpu, min: 1, max: 4}"), {}, "amounts[0].max", "leave max out"),
-    ("too many CPUs", asking("{name: amount.worker.vcpu, min: 17}"), {}, "amounts[0].min", "may have 16"),
-    ("too much memory", asking("{name: amount.worker.memory, min: 66000}"), {}, "amounts[0].min", "may have 65536"),
-    ("scratch space", asking("{name: amount.worker.disk.scratch, min: 1}"), {}, "amounts[0].name", "ask for"),
-    ("windows", asking("", "{name: attr.worker.os.family, anyOf: [windows]}"), {}, "attributes[0]", "linux"),
-    ("two zones", asking("", "{name: attr.meadowcross.zone, anyOf: [east, west]}"), {}, "attributes[0]", "one zone"),
-    ("a foreign zone", asking("", "{name: attr.meadowcross.zone, anyOf: [mars]}"), {}, "attributes[0]", "east, west"),
-    ("a foreign type", asking("", "{name: attr.meadowcross.type, anyOf: [huge]}"), {}, "attributes[0]", "small"),
-    ("an unknown attribute", asking("", "{name: attr.mine, anyOf: [x]}"), {}, "attributes[0].name", "not known"),
+    ("itself", HEADER + "steps:\n- name: a\n  dependencies: [{dependsOn: a}]\n" + SCRIPT, {}, "steps[0]", "itself"),
+    (
+        "an unknown step",
+        HEADER + "steps:\n- name: a\n  dependencies: [{dependsOn: b}]\n" + SCRIPT,
+        {},
+        "steps[0]",
+        "'b'",
+    ),
+    ("no tasks", template_with_ranges(""), {}, "range", ""),
+    (
+        "a billion billion tasks",
+        template_with_ranges("1-1000000000", "1-1000000000"),
+        {},
+        "steps[0].parameterSpace",
+        "may have 1000",
+    ),
+    (
+        "more than can be counted",
+        template_with_ranges("1-9000000000000", "1-9000000000000"),
+        {},
+        "steps[0].parameterSpace",
+        "",
+    ),
+    ("a parameter too large", TEMPLATE_WITH_PARAMETER, {"N": "9"}, "parameters.N", "at most 5"),
+    ("a parameter missing", TEMPLATE_WITH_PARAMETER, {}, "parameters", "N"),
+    ("a parameter too many", HEADER + STEP, {"Z": "1"}, "parameters", "Z"),
+    (
+        "a maximum",
+        template_with_requirements("{name: amount.worker.vcpu, min: 1, max: 4}"),
+        {},
+        "amounts[0].max",
+        "leave max out",
+    ),
+    (
+        "too many CPUs",
+        template_with_requirements("{name: amount.worker.vcpu, min: 17}"),
+        {},
+        "amounts[0].min",
+        "may have 16",
+    ),
+    (
+        "too much memory",
+        template_with_requirements("{name: amount.worker.memory, min: 66000}"),
+        {},
+        "amounts[0].min",
+        "may have 65536",
+    ),
+    (
+        "scratch space",
+        template_with_requirements("{name: amount.worker.disk.scratch, min: 1}"),
+        {},
+        "amounts[0].name",
+        "ask for",
+    ),
+    (
+        "windows",
+        template_with_requirements("", "{name: attr.worker.os.family, anyOf: [windows]}"),
+        {},
+        "attributes[0]",
+        "linux",
+    ),
+    (
+        "two zones",
+        template_with_requirements("", "{name: attr.meadowcross.zone, anyOf: [east, west]}"),
+        {},
+        "attributes[0]",
+        "one zone",
+    ),
+    (
+        "a foreign zone",
+        template_with_requirements("", "{name: attr.meadowcross.zone, anyOf: [mars]}"),
+        {},
+        "attributes[0]",
+        "east, west",
+    ),
+    (
+        "a foreign type",
+        template_with_requirements("", "{name: attr.meadowcross.type, anyOf: [huge]}"),
+        {},
+        "attributes[0]",
+        "small",
+    ),
+    (
+        "an unknown attribute",
+        template_with_requirements("", "{name: attr.mine, anyOf: [x]}"),
+        {},
+        "attributes[0].name",
+        "not known",
+    ),
 ]
 
 
-@pytest.mark.parametrize(("text", "parameters", "field", "word"), [r[1:] for r in REFUSED], ids=[r[0] for r in REFUSED])
-def test_what_cannot_be_taken_is_refused_by_its_field_in_one_line(text, parameters, field, word, tmp_path, capsys):
+@pytest.mark.parametrize(
+    ("text", "parameters", "field", "word"), [r[1:] for r in REJECTED_TICKETS], ids=[r[0] for r in REJECTED_TICKETS]
+)
+def test_invalid_ticket_is_rejected_in_one_line_naming_the_field(text, parameters, field, word, tmp_path, capsys):
     raw = text if isinstance(text, bytes) else text.encode()
-    with pytest.raises(TicketError) as refused:
-        plan_of(raw, parameters, AGENCY)
-    assert field in refused.value.field and word in refused.value.what
+    with pytest.raises(TicketError) as rejection:
+        build_plan(raw, parameters, AGENCY)
+    assert field in rejection.value.field and word in rejection.value.reason
     file = tmp_path / "ticket"
     file.write_bytes(raw)
-    given_ = [part for name, value in parameters.items() for part in ("-p", f"{name}={value}")]
-    assert main(["ticket", "check", str(file), "--site", str(ROOT / "deploy/tickets.xml"), *given_]) == 2
+    parameter_options = [part for name, value in parameters.items() for part in ("-p", f"{name}={value}")]
+    assert main(["ticket", "check", str(file), "--site", str(ROOT / "deploy/tickets.xml"), *parameter_options]) == 2
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
-SITES = [
+INVALID_SITES = [
     ("<x/>", "expected <tickets>"),
     ("<tickets><submitter><name>a</name></submitter></tickets>", "missing"),
     ("<tickets><submitter><name>a</name><name>b</name></submitter></tickets>", "twice"),
@@ -184,12 +268,12 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "word"), SITES, ids=[s[1] for s in SITES])
-def test_a_wrong_site_file_is_refused_by_its_element(text, word, tmp_path):
+@pytest.mark.parametrize(("text", "word"), INVALID_SITES, ids=[s[1] for s in INVALID_SITES])
+def test_invalid_site_file_is_rejected_naming_the_element(text, word, tmp_path):
     file = tmp_path / "site.xml"
     file.write_text(text)
     with pytest.raises(SettingsError, match=word):
-        load(str(file))
+        load_site(str(file))
 
 
 @pytest.mark.parametrize(
@@ -202,11 +286,11 @@
         (["{0}", "--site", "{0}/none"], "can't be read"),
     ],
 )
-def test_what_the_command_cannot_do_it_says_in_one_line(arguments, word, capsys):
+def test_command_reports_errors_in_one_line(arguments, word, capsys):
     example = str(EXAMPLES[0])
-    assert main(["ticket", "check", *[one.format(example) for one in arguments]]) == 2
-    err = capsys.readouterr().err
-    assert word in err and len(err.splitlines()) == 1
+    assert main(["ticket", "check", *[argument.format(example) for argument in arguments]]) == 2
+    error_text = capsys.readouterr().err
+    assert word in error_text and len(error_text.splitlines()) == 1
 
 
 NAMES = st.sampled_from(["a", "b", "c", "Frame", "é", "", "x" * 70, "{{Param.N}}"])
@@ -257,22 +341,22 @@
 )
 
 
-@settings(max_examples=LONG or 200, deadline=None, derandomize=not LONG)
+@settings(max_examples=EXTENDED_EXAMPLES or 200, deadline=None, derandomize=not EXTENDED_EXAMPLES)
 @given(TEMPLATES)
-def test_whatever_is_accepted_maps_to_jobs_and_whatever_is_refused_names_a_field(template):
+def test_random_template_maps_to_acceptable_jobs_or_is_rejected_naming_a_field(template):
     raw = json.dumps(template).encode()
     try:
-        plan = acceptable(plan_of(raw, {}, AGENCY))
+        plan = assert_acceptable(build_plan(raw, {}, AGENCY))
     except TicketError as error:
-        assert error.field and error.what and "\n" not in str(error) and len(str(error)) < 600
+        assert error.field and error.reason and "\n" not in str(error) and len(str(error)) < 600
         return
-    job = job_of(raw, {})
+    job = create_job(raw, {})
     for number, step in enumerate(plan.steps):
         assert set(task_parameters(job.steps[number], step.tasks - 1)) is not None
 
 
-@settings(max_examples=LONG or 150, deadline=None, derandomize=not LONG)
+@settings(max_examples=EXTENDED_EXAMPLES or 150, deadline=None, derandomize=not EXTENDED_EXAMPLES)
 @given(st.one_of(st.binary(max_size=200), st.text("ab:{}[]&*!-\n \"'", max_size=80).map(str.encode)))
-def test_no_bytes_do_more_than_be_refused(raw):
+def test_random_bytes_are_rejected(raw):
     with pytest.raises(TicketError):
-        plan_of(raw, {}, AGENCY)
+        build_plan(raw, {}, AGENCY)
--- a/tests/openjd/test_keys.py
+++ b/tests/openjd/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys: the authority, certificates over real TLS on loopback, signatures, and all that must be refused."""
+"""The certificate authority, TLS certificates on a real loopback connection, signatures, and rejected credentials."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from twisted.internet.task import Clock
 
 from meadowcross.cli import main
-from meadowcross.openjd.guard import Tls
-from meadowcross.openjd.keys import SERVER, SUBMITTER, Authority, KeyTrouble, read_private
-from meadowcross.openjd.signing import Signatures, signature
+from meadowcross.openjd.authentication import TlsContextFactory
+from meadowcross.openjd.keys import SERVER_KIND, SUBMITTER_KIND, Authority, CredentialError, read_private
+from meadowcross.openjd.signing import SignatureVerifier, signature
 from simulation.standins import FakeNet, StateService, serve
-from tests.openjd.test_gateway import ONE, Nodes
+from tests.openjd.test_gateway import ONE_STEP, FakeControllers
 from tests.support.paths import ROOT
 
 SECRET = b"a secret of the agency"
@@ -30,17 +30,17 @@
         return probe.getsockname()[1]
 
 
-def secret_file(folder, name="agency", content=SECRET, mode=0o600):
-    folder.mkdir(exist_ok=True)
-    file = folder / name
+def secret_file(directory, name="agency", content=SECRET, mode=0o600):
+    directory.mkdir(exist_ok=True)
+    file = directory / name
     file.write_bytes(content + b"\n")
     file.chmod(mode)
     return file
 
 
 BODY, PATH = b'{"key":"k"}', "/v1/submitters/agency/tickets"
-SIGNED = [
-    # name, what is changed, a word of the refusal, or none
+SIGNATURE_CASES = [
+    # name, changed parts of the request, a word of the rejection, or None if the signature is accepted
     ("as it is", {}, None),
     ("another body", {"body": b"{}"}, "wrong"),
     ("another path", {"path": PATH + "/x"}, "wrong"),
@@ -55,95 +55,100 @@
 ]
 
 
-@pytest.mark.parametrize(("changed", "word"), [s[1:] for s in SIGNED], ids=[s[0] for s in SIGNED])
-def test_a_signature_holds_for_one_request_of_one_submitter_for_a_while(changed, word, tmp_path):
+@pytest.mark.parametrize(("changed", "word"), [s[1:] for s in SIGNATURE_CASES], ids=[s[0] for s in SIGNATURE_CASES])
+def test_signature_is_valid_once_for_one_request_within_the_window(changed, word, tmp_path):
     secret_file(tmp_path / "secrets")
-    checks = Signatures(str(tmp_path / "secrets"), lambda: 1e9)
-    made = signature(
+    verifier = SignatureVerifier(str(tmp_path / "secrets"), lambda: 1e9)
+    header = signature(
         changed.get("secret", SECRET), "POST", PATH, changed.get("name", "agency"), 1e9 + changed.get("at", 0.0), BODY
     )
-    asked = (
-        changed.get("header", made),
+    request = (
+        changed.get("header", header),
         changed.get("method", "POST"),
         changed.get("path", PATH),
         changed.get("body", BODY),
     )
     if word is None:
-        assert checks.submitter(*asked) == "agency"
-        with pytest.raises(KeyTrouble, match="used before"):
-            checks.submitter(*asked)
+        assert verifier.authenticate(*request) == "agency"
+        with pytest.raises(CredentialError, match="used before"):
+            verifier.authenticate(*request)
         return
-    with pytest.raises(KeyTrouble, match=word) as refused:
-        checks.submitter(*asked)
+    with pytest.raises(CredentialError, match=word) as refused:
+        verifier.authenticate(*request)
     assert SECRET.decode() not in str(refused.value)
 
 
-def test_secrets_are_their_owners_alone_and_may_change_while_it_serves(tmp_path):
-    folder = tmp_path / "secrets"
-    file = secret_file(folder, mode=0o640)
-    with pytest.raises(KeyTrouble, match="chmod 600"):
-        Signatures(str(folder), time.time)
+def test_secret_files_must_be_private_and_are_reloaded_when_changed(tmp_path):
+    directory = tmp_path / "secrets"
+    file = secret_file(directory, mode=0o640)
+    with pytest.raises(CredentialError, match="chmod 600"):
+        SignatureVerifier(str(directory), time.time)
     file.chmod(0o600)
-    checks = Signatures(str(folder), lambda: 1e9)
-    secret_file(folder, content=b"the next secret of it")
+    verifier = SignatureVerifier(str(directory), lambda: 1e9)
+    secret_file(directory, content=b"the next secret of it")
     os.utime(file, ns=(1, 1))
-    made = signature(b"the next secret of it", "POST", PATH, "agency", 1e9, BODY)
-    assert checks.submitter(made, "POST", PATH, BODY) == "agency"
+    header = signature(b"the next secret of it", "POST", PATH, "agency", 1e9, BODY)
+    assert verifier.authenticate(header, "POST", PATH, BODY) == "agency"
     file.unlink()
-    with pytest.raises(KeyTrouble, match="wrong"):
-        checks.submitter(signature(SECRET, "POST", PATH, "agency", 1e9, BODY), "POST", PATH, BODY)
-    secret_file(folder, content=b"short")
-    with pytest.raises(KeyTrouble, match="at least"):
-        Signatures(str(folder), time.time)
-
-
-def test_an_authority_issues_lists_and_revokes(tmp_path, capsys):
-    folder = str(tmp_path / "keys")
-    where = ["--directory", folder]
-    assert main(["keys", "init", "--site", "guild", *where]) == 0
-    assert main(["keys", "issue", "gateway-1", "--host", "127.0.0.1", "--host", "gw.example", *where]) == 0
-    assert main(["keys", "issue", "agency", "--days", "30", *where]) == 0
-    assert main(["keys", "revoke", "agency", *where]) == 0
-    assert main(["keys", "list", *where]) == 0
+    with pytest.raises(CredentialError, match="wrong"):
+        verifier.authenticate(signature(SECRET, "POST", PATH, "agency", 1e9, BODY), "POST", PATH, BODY)
+    secret_file(directory, content=b"short")
+    with pytest.raises(CredentialError, match="at least"):
+        SignatureVerifier(str(directory), time.time)
+
+
+def test_authority_issues_lists_and_revokes_certificates(tmp_path, capsys):
+    directory = str(tmp_path / "keys")
+    directory_option = ["--directory", directory]
+    assert main(["keys", "init", "--site", "guild", *directory_option]) == 0
+    assert main(["keys", "issue", "gateway-1", "--host", "127.0.0.1", "--host", "gw.example", *directory_option]) == 0
+    assert main(["keys", "issue", "agency", "--days", "30", *directory_option]) == 0
+    assert main(["keys", "revoke", "agency", *directory_option]) == 0
+    assert main(["keys", "list", *directory_option]) == 0
     listed = capsys.readouterr().out.splitlines()[-2:]
     assert "revoked" in listed[0] and "server" in listed[1] and "revoked" not in listed[1]
-    assert (os.stat(f"{folder}/agency.key").st_mode & 0o777, os.stat(folder).st_mode & 0o777) == (0o600, 0o700)
+    assert (os.stat(f"{directory}/agency.key").st_mode & 0o777, os.stat(directory).st_mode & 0o777) == (0o600, 0o700)
     for wrong in (["init"], ["issue", "agency"], ["issue", "../x"], ["issue", "authority"], ["revoke", "nobody"]):
-        assert main(["keys", *wrong, *where]) == 2
+        assert main(["keys", *wrong, *directory_option]) == 2
         assert len(capsys.readouterr().err.splitlines()) == 1
-    os.chmod(f"{folder}/authority.key", 0o644)
-    assert main(["keys", "list", *where]) == 2 and "chmod 600" in capsys.readouterr().err
-    with pytest.raises(KeyTrouble, match="can't be read"):
-        read_private(f"{folder}/none")
+    os.chmod(f"{directory}/authority.key", 0o644)
+    assert main(["keys", "list", *directory_option]) == 2 and "chmod 600" in capsys.readouterr().err
+    with pytest.raises(CredentialError, match="can't be read"):
+        read_private(f"{directory}/none")
 
 
 def files_of(authority, name="gateway-1"):
-    folder = authority.directory
-    return f"{folder}/{name}.pem", f"{folder}/{name}.key", f"{folder}/authority.pem", f"{folder}/revoked.pem"
+    directory = authority.directory
+    return (
+        f"{directory}/{name}.pem",
+        f"{directory}/{name}.key",
+        f"{directory}/authority.pem",
+        f"{directory}/revoked.pem",
+    )
 
 
-def test_certificates_are_renewed_without_a_restart_and_a_bad_renewal_changes_nothing(tmp_path, caplog):
+def test_certificates_are_reloaded_and_an_invalid_renewal_is_ignored(tmp_path, caplog):
     authority = Authority.init(str(tmp_path / "a"), "a", 10)
-    authority.issue("gateway-1", SERVER, 5, ["127.0.0.1"])
-    tls = Tls(*files_of(authority))
+    authority.issue("gateway-1", SERVER_KIND, 5, ["127.0.0.1"])
+    tls = TlsContextFactory(*files_of(authority))
     first = tls.getContext()
     assert tls.getContext() is first
-    agency = authority.issue("agency", SUBMITTER, 5)
+    agency = authority.issue("agency", SUBMITTER_KIND, 5)
     serial = int(authority.revoke("agency"), 16)
     second = tls.getContext()
     assert second is not first and tls.revoked == {serial} and os.path.exists(agency + ".pem")
     with open(files_of(authority)[0], "w") as file:
         file.write("no certificate")
-    assert tls.getContext() is second and "stay as they were" in caplog.text
+    assert tls.getContext() is second and "previous ones stay in use" in caplog.text
     other = Authority.init(str(tmp_path / "b"), "b", 10)
-    authority.issue("gateway-2", SERVER, 5, ["127.0.0.1"])
-    with pytest.raises(KeyTrouble, match="not signed"):
-        # The decorator of Twisted's interfaces hides the arguments.
-        Tls(*files_of(authority, "gateway-2")[:3], files_of(other)[3])  # type: ignore[call-arg]
+    authority.issue("gateway-2", SERVER_KIND, 5, ["127.0.0.1"])
+    with pytest.raises(CredentialError, match="not signed"):
+        # The decorator of Twisted's interfaces hides the arguments from mypy.
+        TlsContextFactory(*files_of(authority, "gateway-2")[:3], files_of(other)[3])  # type: ignore[call-arg]
 
 
-ASKED = [
-    # name, certificate's maker, who is asked for, whether it signs, status 0, or 2 and a word
+TLS_CASES = [
+    # name, kind of certificate, submitter in the path, secret to sign with, exit status, a word of the output
     ("a certificate", "good", "agency", None, 0, "first"),
     ("a signature", None, "agency", SECRET, 0, "first"),
     ("neither", None, "agency", None, 2, "neither"),
@@ -157,35 +162,35 @@
 ]
 
 
-def test_over_tls_only_who_shows_a_key_that_holds_is_served(tmp_path):
+def test_only_valid_credentials_are_accepted_over_tls(tmp_path):
     now = datetime.now(UTC)
     own = Authority.init(str(tmp_path / "own"), "own", 100)
     foreign = Authority.init(str(tmp_path / "foreign"), "foreign", 100)
-    own.issue("gateway-1", SERVER, 50, ["127.0.0.1"])
+    own.issue("gateway-1", SERVER_KIND, 50, ["127.0.0.1"])
 
-    def made(kind):
-        """A folder with the submitter's files, as an agency would have them."""
+    def issue_certificate(kind):
+        """A directory with the submitter's files, as an agency would have them."""
         if kind in ("good", "distrust"):
-            path = own.issue("agency", SUBMITTER, 50)
+            path = own.issue("agency", SUBMITTER_KIND, 50)
         elif kind == "foreign":
-            path = foreign.issue("agency", SUBMITTER, 50)
+            path = foreign.issue("agency", SUBMITTER_KIND, 50)
         else:
-            begins = {"expired": now - timedelta(days=9), "early": now + timedelta(days=2)}.get(kind)
-            path = own.issue("agency", SUBMITTER, 5, begins=begins)
+            valid_from = {"expired": now - timedelta(days=9), "early": now + timedelta(days=2)}.get(kind)
+            path = own.issue("agency", SUBMITTER_KIND, 5, valid_from=valid_from)
             if kind == "revoked":
                 own.revoke("agency")
-        folder = tmp_path / f"of-{kind}"
-        folder.mkdir()
+        directory = tmp_path / f"of-{kind}"
+        directory.mkdir()
         for ending in (".pem", ".key"):
-            os.rename(path + ending, folder / f"agency{ending}")
-        return str(folder / "agency.pem")
+            os.rename(path + ending, directory / f"agency{ending}")
+        return str(directory / "agency.pem")
 
-    kinds = {kind: made(kind) for kind in ("good", "foreign", "expired", "early", "revoked", "distrust")}
+    kinds = {kind: issue_certificate(kind) for kind in ("good", "foreign", "expired", "early", "revoked", "distrust")}
     secret_file(tmp_path / "secrets")
     ports = [free_port() for _ in range(3)]
     state = StateService(time.monotonic)
     net = FakeNet(Clock())
-    Nodes(net)
+    FakeControllers(net)
 
     class Node:
         lock = None
@@ -193,7 +198,7 @@
 
     servers = [serve(state, "127.0.0.1", ports[0]), serve(Node, "127.0.0.1", ports[1])]
     (tmp_path / "tickets.xml").write_text((ROOT / "deploy/tickets.xml").read_text())
-    (tmp_path / "ticket.yaml").write_text(ONE)
+    (tmp_path / "ticket.yaml").write_text(ONE_STEP)
     (tmp_path / "gateway.xml").write_text(
         f"<gateway><name>g</name><listen>127.0.0.1:{ports[2]}</listen><state>127.0.0.1:{ports[0]}</state>"
         f"<controllers>127.0.0.1:{ports[1]}</controllers><site>tickets.xml</site><secrets>secrets</secrets>"
@@ -202,8 +207,8 @@
     )
     command = [sys.executable, "-m", "meadowcross"]
     log = open(tmp_path / "log", "w")  # noqa: SIM115  (closed with the gateway)
-    serving = [*command, "tickets", "serve", "--config", str(tmp_path / "gateway.xml")]
-    gateway = subprocess.Popen(serving, cwd=ROOT, stderr=log)
+    serve_command = [*command, "tickets", "serve", "--config", str(tmp_path / "gateway.xml")]
+    gateway = subprocess.Popen(serve_command, cwd=ROOT, stderr=log)
 
     def submit(name, kind, who, secret):
         trusted = foreign if kind == "distrust" else own
@@ -214,12 +219,12 @@
         if secret is not None:
             arguments += ["--secret", str(secret_file(tmp_path / f"s-{name}", content=secret))]
         for _ in range(5):
-            asked = [*command, "ticket", "submit", str(tmp_path / "ticket.yaml"), *arguments]
-            done = subprocess.run(asked, cwd=ROOT, capture_output=True, timeout=60)
-            # What a busy machine can't do in time is asked again, as any submitter would.
-            if b"(503)" not in done.stderr:
+            submit_command = [*command, "ticket", "submit", str(tmp_path / "ticket.yaml"), *arguments]
+            result = subprocess.run(submit_command, cwd=ROOT, capture_output=True, timeout=60)
+            # A busy machine may fail to respond in time; a submitter retries after 503.
+            if b"(503)" not in result.stderr:
                 break
-        return done.returncode, (done.stdout + done.stderr).decode()
+        return result.returncode, (result.stdout + result.stderr).decode()
 
     try:
         deadline = time.monotonic() + 30
@@ -228,16 +233,16 @@
                 if probe.connect_ex(("127.0.0.1", ports[2])) == 0:
                     break
             time.sleep(0.1)
-        with ThreadPoolExecutor(3) as several:
-            asked = [several.submit(submit, *case[:4]) for case in ASKED]
-        for said, (name, _, _, _, status, word) in zip(asked, ASKED, strict=True):
-            assert said.result()[0] == status and word in said.result()[1], (name, said.result())
+        with ThreadPoolExecutor(3) as executor:
+            submissions = [executor.submit(submit, *case[:4]) for case in TLS_CASES]
+        for submission, (name, _, _, _, status, word) in zip(submissions, TLS_CASES, strict=True):
+            assert submission.result()[0] == status and word in submission.result()[1], (name, submission.result())
     finally:
         gateway.terminate()
         gateway.wait(20)
         log.close()
         for server in servers:
             server.shutdown()
-    told = (tmp_path / "log").read_text()
-    assert SECRET.decode() not in told and "refused" in told and "Traceback" not in told, told
+    log_text = (tmp_path / "log").read_text()
+    assert SECRET.decode() not in log_text and "refused" in log_text and "Traceback" not in log_text, log_text
     assert gateway.returncode == 0
--- a/tests/support/wire_constants.py
+++ b/tests/support/wire_constants.py
@@ -58,7 +58,7 @@
 )
 from meadowcross.openjd.records import ended_key as ended_ticket_key
 from meadowcross.openjd.records import open_key as open_ticket_key
-from meadowcross.openjd.site import load as load_submitters
+from meadowcross.openjd.site import load_site as load_submitters
 from meadowcross.recovery.messages import EPOCH_KEY, LEADER_KEY, RECOVERY_PROGRESS_KEY, RecoveryStage
 from meadowcross.relay.messages import DeliveryOutcome
 from meadowcross.snapshots.files import SnapshotEntry, SnapshotHeader, write_snapshot
--- a/tests/support/wire_samples.py
+++ b/tests/support/wire_samples.py
@@ -58,8 +58,8 @@
 )
 from meadowcross.leadership.messages import decode as decode_peer
 from meadowcross.leadership.messages import encode as encode_peer
-from meadowcross.openjd.intake import Submission
-from meadowcross.openjd.keys import Issued
+from meadowcross.openjd.api import Submission
+from meadowcross.openjd.keys import IssuedCertificate
 from meadowcross.openjd.plan import Plan, Step
 from meadowcross.openjd.records import (
     Content,
@@ -210,7 +210,7 @@
     "ticket.content": Codec(Content, decode_content, encode_ticket),
     "ticket.member": Codec(Member, decode_member, encode_ticket),
     "ticket.submission": Codec(Submission, _decoder(Submission), encode_ticket),
-    "ticket.issued": Codec(Issued, _decoder(Issued), encode_ticket),
+    "ticket.issued": Codec(IssuedCertificate, _decoder(IssuedCertificate), encode_ticket),
     "ticket.plan_step": Codec(Step, _decoder(Step), encode_ticket),
     "ticket.plan": Codec(Plan, _decoder(Plan), encode_ticket),
 }
