--- a/meadowcross/openjd/authentication.py
+++ b/meadowcross/openjd/authentication.py
@@ -14,7 +14,7 @@
 
 from meadowcross.common.http import ApiRequest, ServerResponse, error_response
 from meadowcross.common.logging import get_logger
-from meadowcross.openjd.keys import CredentialError, common_name, read_private, revoked_serials
+from meadowcross.openjd.keys import CredentialError, common_name, read_private, read_revoked_serials
 from meadowcross.openjd.signing import SignatureVerifier
 
 log = get_logger("tickets")
@@ -59,7 +59,7 @@
         # A client certificate is optional, because a submitter may sign requests instead. A certificate of another
         # authority, or one that is not valid now, ends the handshake.
         context.set_verify(SSL.VERIFY_PEER, lambda connection, cert, number, depth, is_valid: bool(is_valid))
-        self.revoked = revoked_serials(revoked, root)
+        self.revoked = read_revoked_serials(revoked, root)
         self._context = context
         self._modified_ns = modified_ns
 
--- a/meadowcross/openjd/cli.py
+++ b/meadowcross/openjd/cli.py
@@ -113,7 +113,7 @@
 
     from meadowcross.openjd.keys import Authority
 
-    issued = Authority(options.directory).issued()
+    issued = Authority(options.directory).list_issued()
     if options.json:
         print(msgspec.json.format(msgspec.json.encode(issued)).decode())
         return
@@ -125,13 +125,13 @@
 
 def _serve(options: argparse.Namespace) -> int:
     from meadowcross.common.settings import SettingsError
-    from meadowcross.openjd.gateway import load_gateway, serve
+    from meadowcross.openjd.gateway import load_gateway_settings, serve
     from meadowcross.openjd.keys import CredentialError
     from meadowcross.openjd.site import load_site
 
     try:
         if options.check:
-            settings = load_gateway(options.config)
+            settings = load_gateway_settings(options.config)
             count = len(load_site(settings.site).submitters)
             print(f"{options.config}: good, gateway {settings.name}, {count} submitters")
             return 0
--- a/meadowcross/openjd/client.py
+++ b/meadowcross/openjd/client.py
@@ -12,7 +12,7 @@
 
 from meadowcross.common.types import Seconds
 from meadowcross.openjd.keys import CredentialError, read_private, read_public
-from meadowcross.openjd.signing import secret_of, signature
+from meadowcross.openjd.signing import read_secret, sign_request
 
 REQUEST_TIMEOUT_S: Seconds = 10.0
 
@@ -55,7 +55,7 @@
     content = body or b""
     headers = Headers({})
     if options.secret is not None:
-        signed = signature(secret_of(options.secret), method, path, options.submitter, time.time(), content)
+        signed = sign_request(read_secret(options.secret), method, path, options.submitter, time.time(), content)
         headers.addRawHeader("authorization", signed)
     if options.authority is not None:
         agent = Agent(clock, _tls_policy(options.authority, options.certificate), connectTimeout=REQUEST_TIMEOUT_S / 2)
--- a/meadowcross/openjd/controller_client.py
+++ b/meadowcross/openjd/controller_client.py
@@ -75,9 +75,9 @@
         """
         now = self._clock.seconds()
         available = [
-            node
-            for node in self.nodes
-            if node.address not in tried and node.paused_until <= now and not node.is_probing
+            candidate
+            for candidate in self.nodes
+            if candidate.address not in tried and candidate.paused_until <= now and not candidate.is_probing
         ]
         if not available:
             return None
--- a/meadowcross/openjd/driver.py
+++ b/meadowcross/openjd/driver.py
@@ -1,7 +1,7 @@
 """Drives tickets: submits their steps as native jobs and stores the jobs' outcomes, with one writer for each ticket.
 
-`apply_consequences` and `ready_steps` are pure functions of a record. The next owner of a partition can repeat every
-action of the driver: a job's id is stored before the job is submitted, and the outcome of a step is read from the
+`apply_consequences` and `find_ready_steps` are pure functions of a record. The next owner of a partition can repeat
+every action of the driver: a job's id is stored before the job is submitted, and the outcome of a step is read from the
 controllers.
 """
 
@@ -70,7 +70,7 @@
     return replace(record, steps=steps)
 
 
-def ready_steps(record: records.TicketRecord) -> list[int]:
+def find_ready_steps(record: records.TicketRecord) -> list[int]:
     """Indexes of the steps that may be submitted now and have no job id yet."""
     return [
         number
@@ -231,8 +231,12 @@
     def _start_due_turns(self) -> None:
         now = self._clock.seconds()
         for ticket in sorted(
-            (ticket for ticket in self.open_tickets.values() if not ticket.is_busy and ticket.next_turn_at <= now),
-            key=lambda ticket: ticket.next_turn_at,
+            (
+                open_ticket
+                for open_ticket in self.open_tickets.values()
+                if not open_ticket.is_busy and open_ticket.next_turn_at <= now
+            ),
+            key=lambda open_ticket: open_ticket.next_turn_at,
         ):
             if self._running >= MAX_CONCURRENT_TICKETS:
                 return
@@ -260,7 +264,7 @@
         """Store job ids for ready steps, submit allocated jobs, and poll the jobs that were accepted."""
         before = ticket.record
         record = apply_consequences(before)
-        allocated = ready_steps(record)
+        allocated = find_ready_steps(record)
         for number in allocated:
             step = record.steps[number]
             step.job, step.state = self._new_job_id(), records.StepState.ALLOCATED
@@ -340,7 +344,7 @@
 
     # The store
 
-    def _conditions(self, ticket: OpenTicket) -> list[store_messages.Condition] | None:
+    def _write_conditions(self, ticket: OpenTicket) -> list[store_messages.Condition] | None:
         """The conditions of a write to the ticket; None if this gateway no longer owns its partition."""
         claim = self._get_membership().claims.get(records.partition_of(ticket.id))
         if claim is None:
@@ -354,7 +358,7 @@
         False if the stored record has changed meanwhile or the partition is lost: the caller must start again from the
         ticket's present record.
         """
-        conditions = self._conditions(ticket)
+        conditions = self._write_conditions(ticket)
         if conditions is None:
             return False
         try:
@@ -406,7 +410,7 @@
 
     async def _end(self, ticket: OpenTicket) -> None:
         """Move the record of a ticket whose steps are all final to its ended key, and delete its pieces."""
-        conditions = self._conditions(ticket)
+        conditions = self._write_conditions(ticket)
         if conditions is None:
             return
         changes: list[Any] = [
--- a/meadowcross/openjd/gateway.py
+++ b/meadowcross/openjd/gateway.py
@@ -42,6 +42,7 @@
     value_kb: _Positive = 16.0
     txn_ops: Annotated[int, Meta(ge=4)] = 24
     hold_s: Annotated[float, Meta(ge=1, le=60)] = 5.0
+    """Duration of the lease that this gateway's membership and claims are attached to."""
     tickets_per_s: _Positive = 2.0
     """Limit of one submitter; the limit of all submitters together is four times as high."""
     tls_certificate: str = ""
@@ -58,7 +59,7 @@
         return self.tls_certificate, self.tls_key, self.tls_authority, self.tls_revoked
 
 
-def load_gateway(path: str) -> GatewaySettings:
+def load_gateway_settings(path: str) -> GatewaySettings:
     """Read a gateway's settings file, with paths made absolute.
 
     Raises SettingsError with the file, the element and what was expected.
@@ -149,7 +150,7 @@
 
 def serve(path: str) -> int:
     """Run a gateway until the process is asked to stop. Raises SettingsError and CredentialError."""
-    settings = load_gateway(path)
+    settings = load_gateway_settings(path)
     site = load_site(settings.site)
     from twisted.internet import reactor
     from twisted.internet.defer import Deferred
--- a/meadowcross/openjd/keys.py
+++ b/meadowcross/openjd/keys.py
@@ -176,9 +176,9 @@
         write_private(f"{path}.pem", certificate.public_bytes(serialization.Encoding.PEM))
         return path
 
-    def issued(self) -> list[IssuedCertificate]:
+    def list_issued(self) -> list[IssuedCertificate]:
         """All issued certificates in the directory, sorted by file name. Raises CredentialError."""
-        revoked = revoked_serials(self._path(REVOCATION_FILE), self.certificate)
+        revoked = read_revoked_serials(self._path(REVOCATION_FILE), self.certificate)
         issued = []
         for file in sorted(os.listdir(self.directory)):
             if file.endswith(".pem") and file not in (f"{AUTHORITY_NAME}.pem", REVOCATION_FILE):
@@ -202,7 +202,7 @@
         if not NAME_PATTERN.fullmatch(name) or name == AUTHORITY_NAME:
             raise CredentialError(f"name {name[:80]!r}: no certificate of this authority")
         certificate = _read_certificate(self._path(f"{name}.pem"))
-        revoked = revoked_serials(self._path(REVOCATION_FILE), self.certificate)
+        revoked = read_revoked_serials(self._path(REVOCATION_FILE), self.certificate)
         self._write_revocation_list(sorted(revoked | {certificate.serial_number}))
         return f"{certificate.serial_number:x}"
 
@@ -234,7 +234,7 @@
         return x509.DNSName(text)
 
 
-def revoked_serials(path: str, authority: x509.Certificate) -> set[int]:
+def read_revoked_serials(path: str, authority: x509.Certificate) -> set[int]:
     """The serial numbers on a revocation list. Raises CredentialError, also if `authority` did not sign the list."""
     try:
         revocation_list = x509.load_pem_x509_crl(read_public(path))
--- a/meadowcross/openjd/membership.py
+++ b/meadowcross/openjd/membership.py
@@ -32,7 +32,7 @@
 UPDATE_INTERVAL_S: Seconds = 1.0
 
 
-def owner_of(partition: records.Partition, gateways: Iterable[str]) -> str | None:
+def find_owner(partition: records.Partition, gateways: Iterable[str]) -> str | None:
     """The live gateway whose hash with the partition is highest; None without gateways."""
 
     def weight(gateway: str) -> bytes:
@@ -144,7 +144,7 @@
             log.info("live gateways changed gateways=%s", ", ".join(self.live_gateways))
         self._sync_claims(claims)
         owned = [
-            p for p in map(records.Partition, range(records.PARTITION_COUNT)) if owner_of(p, members) == self._name
+            p for p in map(records.Partition, range(records.PARTITION_COUNT)) if find_owner(p, members) == self._name
         ]
         await self._release([p for p in self.claims if p not in owned])
         await self._claim([p for p in owned if p not in claims])
--- a/meadowcross/openjd/plan.py
+++ b/meadowcross/openjd/plan.py
@@ -126,7 +126,7 @@
     if resource is None:
         supported_names = "amount.worker.vcpu, amount.worker.memory and amount.worker.gpu"
         raise TicketError(f"{field}.name", f"{amount.name[:60]!r} is not known here; ask for {supported_names}")
-    attribute_name, limit, units_per_native = resource
+    attribute_name, limit, unit_factor = resource
     if amount.max is not None:
         raise TicketError(f"{field}.max", f"{amount.max}: a task takes what it asks for; leave max out")
     if amount.min is None:
@@ -134,9 +134,9 @@
     requested = float(amount.min)
     if not isfinite(requested) or requested < 0 or (requested == 0 and attribute_name == "cpus"):
         raise TicketError(f"{field}.min", f"{amount.min}; expected more than 0")
-    if requested / units_per_native > limit:
-        raise TicketError(f"{field}.min", f"{amount.min}; {submitter.name} may have {limit * units_per_native:g}")
-    setattr(step, attribute_name, requested / units_per_native)
+    if requested / unit_factor > limit:
+        raise TicketError(f"{field}.min", f"{amount.min}; {submitter.name} may have {limit * unit_factor:g}")
+    setattr(step, attribute_name, requested / unit_factor)
 
 
 def _apply_attribute(step: Step, attribute: Any, field: str, submitter: Submitter) -> None:
--- a/meadowcross/openjd/signing.py
+++ b/meadowcross/openjd/signing.py
@@ -36,14 +36,14 @@
     return hmac.new(secret, text.encode(), sha256).hexdigest()
 
 
-def signature(secret: bytes, method: str, path: str, name: str, now: float, body: bytes) -> str:
+def sign_request(secret: bytes, method: str, path: str, name: str, now: float, body: bytes) -> str:
     """The Authorization header of a request, signed at `now` (seconds since the epoch) with a fresh nonce."""
     time, nonce = str(int(now)), secrets.token_hex(16)
     mac = _compute_mac(secret, method, path, name, time, nonce, body)
     return f"{SCHEME} submitter={name}, time={time}, nonce={nonce}, mac={mac}"
 
 
-def secret_of(path: str) -> bytes:
+def read_secret(path: str) -> bytes:
     """Read a file with a secret: one line, readable by its owner only. Raises CredentialError."""
     secret = read_private(path).strip()
     if len(secret) < MIN_SECRET_BYTES:
@@ -75,7 +75,7 @@
             return None
         cached = self._secrets.get(name)
         if cached is None or cached[0] != modified_ns:
-            cached = self._secrets[name] = (modified_ns, secret_of(path))
+            cached = self._secrets[name] = (modified_ns, read_secret(path))
         return cached[1]
 
     def _find_secret(self, name: str) -> bytes | None:
--- a/meadowcross/openjd/template.py
+++ b/meadowcross/openjd/template.py
@@ -1,8 +1,8 @@
 """Parses and validates a ticket's job template with the library of the Open Job Description format.
 
-Size limits are checked before the library expands any part of the template. YAML features beyond plain values
-(anchors, aliases, tags, several documents, duplicate keys) are rejected in the event stream, so that no object is built
-from them.
+Limits of size, depth and number are checked before the library expands any part of the template. YAML features beyond
+plain values (anchors, aliases, tags, several documents, duplicate keys) are rejected in the event stream, so that no
+object is built from them.
 """
 
 from __future__ import annotations
@@ -60,15 +60,15 @@
         if event.tag is not None and event.tag not in PLAIN_YAML_TAGS:
             raise TicketError(_line_of(event), f"tag {event.tag} is not taken; write a plain value")
         if open_collections:
-            keys, key_next = open_collections[-1]
+            keys, is_key_next = open_collections[-1]
             if keys is not None:
-                if key_next:
+                if is_key_next:
                     if not isinstance(event, yaml.ScalarEvent):
                         raise TicketError(_line_of(event), "a key that is no text")
                     if event.value in keys:
                         raise TicketError(_line_of(event), f"key {event.value[:60]!r} given twice")
                     keys.add(event.value)
-                open_collections[-1] = (keys, not key_next)
+                open_collections[-1] = (keys, not is_key_next)
         if isinstance(event, yaml.CollectionStartEvent):
             open_collections.append((set(), True) if isinstance(event, yaml.MappingStartEvent) else (None, False))
             if len(open_collections) > MAX_DEPTH:
@@ -112,10 +112,10 @@
     except RecursionError as error:
         raise TicketError("document", f"nested deeper than {MAX_DEPTH}") from error
     except Exception as error:
-        raise TicketError("document", one_line(error)) from error
+        raise TicketError("document", format_one_line(error)) from error
 
 
-def one_line(error: Exception) -> str:
+def format_one_line(error: Exception) -> str:
     """The message of a library's error as one line of at most 300 characters."""
     return (" ".join(str(error).split()) or type(error).__name__)[:300]
 
@@ -128,7 +128,7 @@
         if line.endswith(":") and lines[i + 1].startswith("\t") and "validation error" not in line:
             return TicketError(line[:-1].replace(" -> ", ".")[:200], lines[i + 1].strip()[:300])
     parameter_match = re.search(r"for parameter ([A-Za-z0-9_]+)", str(error))
-    return TicketError(f"parameters.{parameter_match[1]}" if parameter_match else fallback, one_line(error))
+    return TicketError(f"parameters.{parameter_match[1]}" if parameter_match else fallback, format_one_line(error))
 
 
 def _check_graph(steps: Any) -> None:
@@ -204,10 +204,10 @@
     except OverflowError as error:
         raise TicketError(field, "more tasks than can be counted") from error
     except Exception as error:
-        raise TicketError(field, one_line(error)) from error
+        raise TicketError(field, format_one_line(error)) from error
 
 
-def task_parameters(step: Any, number: int) -> dict[str, str]:
+def compute_task_parameters(step: Any, number: int) -> dict[str, str]:
     """The parameter values of the task with this number, counted from 0."""
     values = model.StepParameterSpaceIterator(space=step.parameterSpace)[number]
     return {name: str(value.value) for name, value in sorted(values.items())}
--- a/tests/openjd/test_gateway.py
+++ b/tests/openjd/test_gateway.py
@@ -16,9 +16,9 @@
 from meadowcross.jobs.messages import Priority, decode_spec
 from meadowcross.openjd import records
 from meadowcross.openjd.controller_client import ControllerClient, ControllersUnavailableError
-from meadowcross.openjd.driver import apply_consequences, ready_steps
-from meadowcross.openjd.gateway import Gateway, GatewaySettings, load_gateway
-from meadowcross.openjd.membership import owner_of
+from meadowcross.openjd.driver import apply_consequences, find_ready_steps
+from meadowcross.openjd.gateway import Gateway, GatewaySettings, load_gateway_settings
+from meadowcross.openjd.membership import find_owner
 from meadowcross.openjd.site import Site
 from simulation.standins import FakeNet, StateService
 from tests.openjd.test_job_templates import HEADER, SCRIPT, SITE
@@ -39,7 +39,7 @@
         self.failing_status: dict[str, int] = {}
         self.request_counts: dict[str, int] = {}
         for number in range(count):
-            net.hosts[f"n{number}:1"] = lambda *what, name=f"n{number}:1": self.handle(name, *what)
+            net.hosts[f"n{number}:1"] = lambda *args, name=f"n{number}:1": self.handle(name, *args)
 
     def handle(self, name: str, method: str, path: str, query: Any, body: bytes) -> tuple[int, Any]:
         self.request_counts[name] = self.request_counts.get(name, 0) + 1
@@ -77,10 +77,10 @@
     async def call(self, *args: Any, **kwargs: Any) -> Any:
         if self.is_cut:
             await Deferred()
-        reply = await self.net.call(*args, **kwargs)
+        response = await self.net.call(*args, **kwargs)
         if self.is_cut:
             await Deferred()
-        return reply
+        return response
 
 
 class GatewayCluster:
@@ -126,14 +126,14 @@
     def send(self, name: str, method: str, path: str, body: Any = None) -> tuple[int, Any, int | None]:
         handler, groups = self.gateways[name].router.resolve(method, path)
         results: list[Any] = []
-        made = handler(json.dumps(body).encode() if body is not None else b"", *groups)
-        Deferred.fromCoroutine(made).addBoth(results.append)
+        operation = handler(json.dumps(body).encode() if body is not None else b"", *groups)
+        Deferred.fromCoroutine(operation).addBoth(results.append)
         for _ in range(200):
             if results:
                 break
             self.clock.advance(0.05)
-        answer = results[0]
-        return answer.status, msgspec.json.decode(answer.body), answer.retry_after
+        response = results[0]
+        return response.status, msgspec.json.decode(response.body), response.retry_after
 
     def submit(self, document: str = CHAIN, key: str = "k", name: str = "g0") -> tuple[int, Any]:
         return self.send(name, "POST", "/v1/submitters/agency/tickets", {"key": key, "document": document})[:2]
@@ -199,7 +199,7 @@
 def test_ticket_of_a_killed_gateway_is_finished_by_another_gateway(after):
     cluster = GatewayCluster(3)
     ticket = cluster.submit(DIAMOND)[1]["id"]
-    owner = owner_of(records.partition_of(ticket), ["g0", "g1", "g2"])
+    owner = find_owner(records.partition_of(ticket), ["g0", "g1", "g2"])
     start_revision = cluster.state.revision
     while cluster.state.revision - start_revision < after and cluster.ticket_states(ticket, owner)[0] == "open":
         cluster.controllers.finish_jobs()
@@ -226,7 +226,7 @@
     cluster = GatewayCluster(2)
     ticket = cluster.submit()[1]["id"]
     cluster.pass_time(2.0)
-    owner = owner_of(records.partition_of(ticket), ["g0", "g1"])
+    owner = find_owner(records.partition_of(ticket), ["g0", "g1"])
     other = "g1" if owner == "g0" else "g0"
     hung = cluster.gateways[owner]
     stale = hung.driver.open_tickets[ticket]
@@ -245,8 +245,8 @@
 
 
 def test_joining_gateway_takes_over_only_its_share_of_partitions():
-    owners_of_three = {p: owner_of(records.Partition(p), ["a", "b", "c"]) for p in range(records.PARTITION_COUNT)}
-    owners_of_four = {p: owner_of(records.Partition(p), ["a", "b", "c", "d"]) for p in range(records.PARTITION_COUNT)}
+    owners_of_three = {p: find_owner(records.Partition(p), ["a", "b", "c"]) for p in range(records.PARTITION_COUNT)}
+    owners_of_four = {p: find_owner(records.Partition(p), ["a", "b", "c", "d"]) for p in range(records.PARTITION_COUNT)}
     moved = [p for p in owners_of_three if owners_of_three[p] != owners_of_four[p]]
     assert all(owners_of_four[p] == "d" for p in moved) and 5 <= len(moved) <= 28
     cluster = GatewayCluster(1)
@@ -311,10 +311,10 @@
 
 
 def record(*steps, cancelled=None):
-    made = [
+    step_records = [
         records.StepRecord(f"s{i}", 1, list(after), records.StepState(state)) for i, (state, after) in enumerate(steps)
     ]
-    return records.TicketRecord(1, "x", "agency", "d", 1, 0.0, made, cancelled)
+    return records.TicketRecord(1, "x", "agency", "d", 1, 0.0, step_records, cancelled)
 
 
 CONSEQUENCE_CASES = [
@@ -349,8 +349,8 @@
     ("steps", "cancelled", "states", "ready"), [s[1:] for s in CONSEQUENCE_CASES], ids=[s[0] for s in CONSEQUENCE_CASES]
 )
 def test_consequences_and_ready_steps_of_a_record(steps, cancelled, states, ready):
-    made = apply_consequences(record(*steps, cancelled=cancelled))
-    assert " ".join(step.state.value for step in made.steps) == states and ready_steps(made) == ready
+    result = apply_consequences(record(*steps, cancelled=cancelled))
+    assert " ".join(step.state.value for step in result.steps) == states and find_ready_steps(result) == ready
 
 
 def test_flood_from_one_submitter_is_refused_at_once_and_others_are_served():
@@ -433,10 +433,10 @@
 def test_response_status_of_each_request(method, path, body, status):
     cluster = GatewayCluster()
     cluster.submit(ONE_STEP, "there")
-    answer = cluster.send("g0", method, path, body)
-    assert answer[0] == status and (status != 422 or answer[1]["field"])
+    response = cluster.send("g0", method, path, body)
+    assert response[0] == status and (status != 422 or response[1]["field"])
     if path == "/v1/submitters/agency/tickets" and method == "GET":
-        assert [t["name"] for t in answer[1]["tickets"]] == ["first"]
+        assert [t["name"] for t in response[1]["tickets"]] == ["first"]
 
 
 def test_content_of_many_pieces_is_joined_again():
@@ -529,11 +529,11 @@
 
 @pytest.mark.parametrize(("old", "new", "word"), INVALID_SETTINGS, ids=[w[2] for w in INVALID_SETTINGS])
 def test_invalid_gateway_settings_are_rejected_naming_the_element(old, new, word, tmp_path):
-    assert load_gateway(str(ROOT / "deploy/gateway.xml")).name == "gateway-1"
+    assert load_gateway_settings(str(ROOT / "deploy/gateway.xml")).name == "gateway-1"
     file = tmp_path / "gateway.xml"
     file.write_text(GATEWAY_XML.replace(old, new))
     with pytest.raises(SettingsError, match=word):
-        load_gateway(str(file))
+        load_gateway_settings(str(file))
 
 
 class SingleControllerNetwork:
@@ -548,8 +548,8 @@
             return await self.world.net.call(method, address, path, body, timeout)
         parts = path.split("/")
         operation = "submit" if path == "/v1/jobs" else "cancel" if path.endswith("/withdraw") else "query"
-        answer = await self.api.serve(operation, parts[3] if len(parts) > 3 else "", body or b"")
-        return ClientResponse(answer.status, answer.body)
+        response = await self.api.serve(operation, parts[3] if len(parts) > 3 else "", body or b"")
+        return ClientResponse(response.status, response.body)
 
 
 def start_order(seed, ticket_indexes):
--- a/tests/openjd/test_job_templates.py
+++ b/tests/openjd/test_job_templates.py
@@ -17,7 +17,7 @@
 from meadowcross.jobs.messages import decode_spec, encode
 from meadowcross.openjd.plan import build_job_spec, build_plan
 from meadowcross.openjd.site import load_site
-from meadowcross.openjd.template import MAX_BYTES, TicketError, create_job, task_parameters
+from meadowcross.openjd.template import MAX_BYTES, TicketError, compute_task_parameters, create_job
 from simulation.standins import TYPES
 from tests.support.paths import ROOT
 
@@ -70,16 +70,16 @@
 
 
 def test_host_requirements_are_applied_to_the_job():
-    with_host_requirements = build_plan((ROOT / "examples/tickets/08-host.yaml").read_bytes(), {}, AGENCY).steps[0]
+    host_step = build_plan((ROOT / "examples/tickets/08-host.yaml").read_bytes(), {}, AGENCY).steps[0]
     assert (
-        with_host_requirements.cpus,
-        with_host_requirements.memory_gb,
-        with_host_requirements.gpus,
-        with_host_requirements.types,
-        with_host_requirements.zone,
+        host_step.cpus,
+        host_step.memory_gb,
+        host_step.gpus,
+        host_step.types,
+        host_step.zone,
     ) == (4.0, 8.0, 0.0, None, None)
-    zone_and_types = build_plan((ROOT / "examples/tickets/09-zone-and-type.yaml").read_bytes(), {}, AGENCY)
-    spec = build_job_spec(zone_and_types, 0, "wk-000001", AGENCY)
+    zone_plan = build_plan((ROOT / "examples/tickets/09-zone-and-type.yaml").read_bytes(), {}, AGENCY)
+    spec = build_job_spec(zone_plan, 0, "wk-000001", AGENCY)
     assert (spec.types, spec.zone, spec.cpus, spec.memory_gb) == (["small", "large"], "east", 1.0, 2.0)
     preserved = (
         build_plan((ROOT / "examples/tickets/10-files-and-environment.yaml").read_bytes(), {}, AGENCY)
@@ -100,7 +100,7 @@
 )
 def test_task_parameters_are_computed_from_the_task_number(file, number, parameters):
     job = create_job((ROOT / "examples/tickets" / file).read_bytes(), {})
-    assert task_parameters(job.steps[0], number) == parameters
+    assert compute_task_parameters(job.steps[0], number) == parameters
 
 
 def template_with_ranges(first, second="1"):
@@ -352,7 +352,7 @@
         return
     job = create_job(raw, {})
     for number, step in enumerate(plan.steps):
-        assert set(task_parameters(job.steps[number], step.tasks - 1)) is not None
+        assert set(compute_task_parameters(job.steps[number], step.tasks - 1)) is not None
 
 
 @settings(max_examples=EXTENDED_EXAMPLES or 150, deadline=None, derandomize=not EXTENDED_EXAMPLES)
--- a/tests/openjd/test_keys.py
+++ b/tests/openjd/test_keys.py
@@ -16,7 +16,7 @@
 from meadowcross.cli import main
 from meadowcross.openjd.authentication import TlsContextFactory
 from meadowcross.openjd.keys import SERVER_KIND, SUBMITTER_KIND, Authority, CredentialError, read_private
-from meadowcross.openjd.signing import SignatureVerifier, signature
+from meadowcross.openjd.signing import SignatureVerifier, sign_request
 from simulation.standins import FakeNet, StateService, serve
 from tests.openjd.test_gateway import ONE_STEP, FakeControllers
 from tests.support.paths import ROOT
@@ -30,7 +30,7 @@
         return probe.getsockname()[1]
 
 
-def secret_file(directory, name="agency", content=SECRET, mode=0o600):
+def write_secret_file(directory, name="agency", content=SECRET, mode=0o600):
     directory.mkdir(exist_ok=True)
     file = directory / name
     file.write_bytes(content + b"\n")
@@ -57,9 +57,9 @@
 
 @pytest.mark.parametrize(("changed", "word"), [s[1:] for s in SIGNATURE_CASES], ids=[s[0] for s in SIGNATURE_CASES])
 def test_signature_is_valid_once_for_one_request_within_the_window(changed, word, tmp_path):
-    secret_file(tmp_path / "secrets")
+    write_secret_file(tmp_path / "secrets")
     verifier = SignatureVerifier(str(tmp_path / "secrets"), lambda: 1e9)
-    header = signature(
+    header = sign_request(
         changed.get("secret", SECRET), "POST", PATH, changed.get("name", "agency"), 1e9 + changed.get("at", 0.0), BODY
     )
     request = (
@@ -80,19 +80,19 @@
 
 def test_secret_files_must_be_private_and_are_reloaded_when_changed(tmp_path):
     directory = tmp_path / "secrets"
-    file = secret_file(directory, mode=0o640)
+    file = write_secret_file(directory, mode=0o640)
     with pytest.raises(CredentialError, match="chmod 600"):
         SignatureVerifier(str(directory), time.time)
     file.chmod(0o600)
     verifier = SignatureVerifier(str(directory), lambda: 1e9)
-    secret_file(directory, content=b"the next secret of it")
+    write_secret_file(directory, content=b"the next secret of it")
     os.utime(file, ns=(1, 1))
-    header = signature(b"the next secret of it", "POST", PATH, "agency", 1e9, BODY)
+    header = sign_request(b"the next secret of it", "POST", PATH, "agency", 1e9, BODY)
     assert verifier.authenticate(header, "POST", PATH, BODY) == "agency"
     file.unlink()
     with pytest.raises(CredentialError, match="wrong"):
-        verifier.authenticate(signature(SECRET, "POST", PATH, "agency", 1e9, BODY), "POST", PATH, BODY)
-    secret_file(directory, content=b"short")
+        verifier.authenticate(sign_request(SECRET, "POST", PATH, "agency", 1e9, BODY), "POST", PATH, BODY)
+    write_secret_file(directory, content=b"short")
     with pytest.raises(CredentialError, match="at least"):
         SignatureVerifier(str(directory), time.time)
 
@@ -117,7 +117,7 @@
         read_private(f"{directory}/none")
 
 
-def files_of(authority, name="gateway-1"):
+def tls_files(authority, name="gateway-1"):
     directory = authority.directory
     return (
         f"{directory}/{name}.pem",
@@ -130,21 +130,21 @@
 def test_certificates_are_reloaded_and_an_invalid_renewal_is_ignored(tmp_path, caplog):
     authority = Authority.init(str(tmp_path / "a"), "a", 10)
     authority.issue("gateway-1", SERVER_KIND, 5, ["127.0.0.1"])
-    tls = TlsContextFactory(*files_of(authority))
+    tls = TlsContextFactory(*tls_files(authority))
     first = tls.getContext()
     assert tls.getContext() is first
     agency = authority.issue("agency", SUBMITTER_KIND, 5)
     serial = int(authority.revoke("agency"), 16)
     second = tls.getContext()
     assert second is not first and tls.revoked == {serial} and os.path.exists(agency + ".pem")
-    with open(files_of(authority)[0], "w") as file:
+    with open(tls_files(authority)[0], "w") as file:
         file.write("no certificate")
     assert tls.getContext() is second and "previous ones stay in use" in caplog.text
     other = Authority.init(str(tmp_path / "b"), "b", 10)
     authority.issue("gateway-2", SERVER_KIND, 5, ["127.0.0.1"])
     with pytest.raises(CredentialError, match="not signed"):
         # The decorator of Twisted's interfaces hides the arguments from mypy.
-        TlsContextFactory(*files_of(authority, "gateway-2")[:3], files_of(other)[3])  # type: ignore[call-arg]
+        TlsContextFactory(*tls_files(authority, "gateway-2")[:3], tls_files(other)[3])  # type: ignore[call-arg]
 
 
 TLS_CASES = [
@@ -169,7 +169,7 @@
     own.issue("gateway-1", SERVER_KIND, 50, ["127.0.0.1"])
 
     def issue_certificate(kind):
-        """A directory with the submitter's files, as an agency would have them."""
+        """Issue a certificate, and move it with its key to a directory of the submitter; return its path."""
         if kind in ("good", "distrust"):
             path = own.issue("agency", SUBMITTER_KIND, 50)
         elif kind == "foreign":
@@ -181,12 +181,12 @@
                 own.revoke("agency")
         directory = tmp_path / f"of-{kind}"
         directory.mkdir()
-        for ending in (".pem", ".key"):
-            os.rename(path + ending, directory / f"agency{ending}")
+        for suffix in (".pem", ".key"):
+            os.rename(path + suffix, directory / f"agency{suffix}")
         return str(directory / "agency.pem")
 
     kinds = {kind: issue_certificate(kind) for kind in ("good", "foreign", "expired", "early", "revoked", "distrust")}
-    secret_file(tmp_path / "secrets")
+    write_secret_file(tmp_path / "secrets")
     ports = [free_port() for _ in range(3)]
     state = StateService(time.monotonic)
     net = FakeNet(Clock())
@@ -210,14 +210,14 @@
     serve_command = [*command, "tickets", "serve", "--config", str(tmp_path / "gateway.xml")]
     gateway = subprocess.Popen(serve_command, cwd=ROOT, stderr=log)
 
-    def submit(name, kind, who, secret):
+    def submit(name, kind, submitter, secret):
         trusted = foreign if kind == "distrust" else own
-        arguments = ["--key", name, "--submitter", who, "--gateway", f"127.0.0.1:{ports[2]}"]
+        arguments = ["--key", name, "--submitter", submitter, "--gateway", f"127.0.0.1:{ports[2]}"]
         arguments += ["--authority", f"{trusted.directory}/authority.pem"]
         if kind is not None:
             arguments += ["--certificate", kinds[kind]]
         if secret is not None:
-            arguments += ["--secret", str(secret_file(tmp_path / f"s-{name}", content=secret))]
+            arguments += ["--secret", str(write_secret_file(tmp_path / f"s-{name}", content=secret))]
         for _ in range(5):
             submit_command = [*command, "ticket", "submit", str(tmp_path / "ticket.yaml"), *arguments]
             result = subprocess.run(submit_command, cwd=ROOT, capture_output=True, timeout=60)
--- a/tests/support/wire_constants.py
+++ b/tests/support/wire_constants.py
@@ -45,7 +45,7 @@
 )
 from meadowcross.jobs.messages import ended_key as ended_job_key
 from meadowcross.jobs.messages import open_key as open_job_key
-from meadowcross.openjd.gateway import load_gateway
+from meadowcross.openjd.gateway import load_gateway_settings
 from meadowcross.openjd.records import (
     Partition,
     StepState,
@@ -147,7 +147,7 @@
         "settings.toml": platform,
         "operator.xml": operator,
         "tickets.xml": load_submitters(str(WIRE / "tickets.xml")),
-        "gateway.xml": load_gateway(str(WIRE / "gateway.xml")),
+        "gateway.xml": load_gateway_settings(str(WIRE / "gateway.xml")),
         "operator defaults": OperatorSettings(),
         "digest": settings_digest(platform, operator),
         "digest of defaults": settings_digest(platform, OperatorSettings()),
