--- a/benchmarks/cancels.py
+++ b/benchmarks/cancels.py
@@ -13,10 +13,10 @@
 
 from benchmarks.day import LINE
 
-STORED = re.compile(r"job (\S+) cancelled$")
-TOLD = re.compile(r"job (\S+): its user is told of the cancel")
-WITHHELD = re.compile(r"job (\S+): its cancel is stored and not told yet")
-ENDED = re.compile(r"job (\S+) ended: cancelled")
+STORED = re.compile(r"(?:cancellation stored job=|job (?=\S+ cancelled$))(\S+)")
+TOLD = re.compile(r"(?:cancellation confirmed to user job=|job (?=\S+: its user is told of the cancel))([^\s:]+)")
+WITHHELD = re.compile(r"(?:cancellation pending, .* job=|job (?=\S+: its cancel is stored and not told yet))([^\s:]+)")
+ENDED = re.compile(r"job (?:ended job=)?(\S+) (?:ended: |state=)cancelled")
 LATE_S = 1.0
 
 
--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -12,11 +12,13 @@
 from dataclasses import dataclass, field
 
 LINE = re.compile(r"\s*(\d+(?:\.\d+)?)\s.*?\b([DIEW]) (\S+) (\w+): (.*)")
+# Lines of jobs are read in their present form and in the one before.
 ACCEPTED = re.compile(
-    r"job (\S+) accepted: (\S+) of (\S+), (\w+), (\d+) tasks of (\S+) CPUs and (\S+) GB, "
-    r"about (\S+) s, due after (\S+) s"
+    r"job (?:accepted job=)?(\S+) (?:accepted: |class=)(\S+) (?:of |team=)(\S+?),? (?:priority=)?(\w+),? "
+    r"(?:tasks=)?(\d+) (?:tasks of |cpus=)(\S+) (?:CPUs and |memory_gb=)(\S+) (?:GB, about |estimate_s=)(\S+) "
+    r"(?:s, due after |deadline_s=)(\S+)"
 )
-ENDED = re.compile(r"job (\S+) ended: (\w+)")
+ENDED = re.compile(r"job (?:ended job=)?(\S+) (?:ended: |state=)(\w+)")
 RUNS = re.compile(r"task (\S+)/(\d+) runs on (\S+) after (\S+) s")
 DONE = re.compile(r"task (\S+)/(\d+) done on (\S+) after (\S+) s")
 GONE = re.compile(r"task (\S+)/(\d+) attempt (\d+) gone (?:from|with) ([^:\s]+)(?:: (.*))?")
--- a/meadowcross/jobs/__init__.py
+++ b/meadowcross/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""The user API and the records of jobs and their tasks."""
+"""The user API, and the records of jobs and their tasks."""
--- a/meadowcross/jobs/api.py
+++ b/meadowcross/jobs/api.py
@@ -1,4 +1,4 @@
-"""The user API, served by every node: submit, query, cancel, readiness."""
+"""The user API, served by every controller: submit, query and cancel jobs, and the readiness check."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
 
 RETRY_AFTER_S = 1
 CANCEL_WAIT_S: Seconds = 2.5
-"""How long a request to cancel waits for the end of its job; its user waits for twice as long."""
+"""How long a cancel request waits for its job's end; the user's client waits for twice as long."""
 TRANSACTION_TIMEOUT_S: Seconds = 1.5
 UNREADY_AFTER_S: Seconds = 1.0
-"""A node that is cut off from the store for so long is no longer ready."""
+"""A controller that has been cut off from the store for this time is no longer ready."""
 MAX_OPEN_REQUESTS = 300
-MAX_CANCEL_TRIES = 3
+MAX_CANCEL_ATTEMPTS = 3
 STORED_TASK_BYTES = 64
-"""The most that one task takes in a stored chunk."""
+"""Upper bound of the size of one task's entry in a stored chunk."""
 
 
 def job_response(
@@ -60,7 +60,7 @@
     status: int = 200,
     forecast_s: ForecastQuantiles | None = None,
 ) -> ServerResponse:
-    """Return the answer that describes a job."""
+    """Return the response that describes a job, with the forecast rounded to 0.1 s."""
     rounded_s: ForecastQuantiles | None = None
     if forecast_s is not None:
         early_s, median_s, late_s = forecast_s
@@ -69,13 +69,13 @@
 
 
 def is_job_id(text: str) -> bool:
-    """Whether the text has the form of a job's id."""
+    """Whether the text has the form of a job's id: `wk-` and 6 to 18 decimal digits."""
     prefix, _, number = text.partition("-")
     return prefix == "wk" and number.isascii() and number.isdigit() and 6 <= len(number) <= 18
 
 
 class JobApi:
-    """Serves the users' requests from the store, or through a peer where only this node is cut off from it."""
+    """Serves users' requests from the store, or through a peer if only this controller is cut off from the store."""
 
     def __init__(
         self,
@@ -100,19 +100,19 @@
         self._chunk_size = max(1, store.max_value_bytes // STORED_TASK_BYTES)
 
     def add_routes(self, router: Router) -> None:
-        """Add the API's paths."""
+        """Register the API's paths with the router."""
         router.add("POST", r"/v1/jobs", self.build_handler("submit"))
         router.add("GET", r"/v1/jobs/([^/]+)", self.build_handler("query"))
         router.add("POST", r"/v1/jobs/([^/]+)/withdraw", self.build_handler("cancel"))
         router.add("GET", r"/ready", self.ready)
 
-    # Where a request is served
+    # Serve locally or forward
 
     def build_handler(self, operation: str) -> Callable[..., Awaitable[ServerResponse]]:
-        """Return the handler of an operation, which bounds its work and answers 503 at once without the store."""
+        """Return an operation's handler, which responds 503 at once if too many requests are open or it can't serve."""
 
         async def handle(body: bytes, job: str = "") -> ServerResponse:
-            # The limit is by operation, so that many queries keep nobody from submitting.
+            # Each operation has a limit of its own, so that a flood of queries does not block submissions.
             if self._open_requests[operation] >= MAX_OPEN_REQUESTS:
                 return error_response(503, "too many requests are open", RETRY_AFTER_S)
             if (unavailable_reason := self._integrity.unavailable_reason()) is not None:
@@ -136,11 +136,14 @@
         return response
 
     def _is_isolated(self) -> bool:
-        """Whether the state service does not answer this node and does answer others."""
+        """Whether the store fails to respond to this controller while it responds to others."""
         return self._store.failing_since is not None and (self._peers.has_store() or self._peers.has_unknown_leader())
 
     async def serve(self, operation: str, job: str, body: bytes) -> ServerResponse:
-        """Serve a request by this node itself, for its own users or a peer's."""
+        """Serve a request on this controller, for its own users or for a peer.
+
+        Returns 503 if the store is unavailable, 404 for an unknown operation.
+        """
         try:
             match operation:
                 case "submit":
@@ -155,10 +158,10 @@
         return error_response(404, "no such operation")
 
     def ready(self, _body: bytes) -> ServerResponse:
-        """Answer the load balancer: 200 if users may be sent here, else 503.
+        """Respond to the load balancer's health check: 200 if this controller can serve users, else 503.
 
-        In an outage of all nodes each stays ready and answers users at once when to come back; a node that alone is
-        cut off from the store does not, since users do better elsewhere.
+        If the store is unavailable to all controllers, all stay ready and respond 503 with a retry time at once. A
+        controller that alone is cut off from the store is not ready, because other controllers can serve its users.
         """
         if not self._admission.is_ready():
             return error_response(503, "machine types are not known yet", RETRY_AFTER_S)
@@ -176,7 +179,7 @@
     # Submit
 
     async def submit(self, body: bytes) -> ServerResponse:
-        """Accept a job: 201, or 200 for a repeat; 400 if it is malformed, 422 if it can never run."""
+        """Accept a job: 201, or 200 for a resubmission; 400 if it is malformed, 422 if it can never run."""
         try:
             spec = decode_spec(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -186,10 +189,10 @@
             return error_response(503, "machine types are not known yet", RETRY_AFTER_S)
         rejection = self._admission.rejection_reason(spec)
         if rejection is not None:
-            # A repeated submission of an accepted job is never rejected.
+            # A resubmission of an accepted job is never rejected, even if the job would be rejected now.
             return await self._describe_job(job) or error_response(422, rejection)
-        if (ended := self._reader.find_final(job)) is not None:
-            return _ended_response(job, ended)
+        if (ended_record := self._reader.find_final(job)) is not None:
+            return _ended_response(job, ended_record)
         value = encode_raw(JobRecord(spec, WallTime(self._clock.seconds()), self._chunk_size))
         if len(bytes(value)) > self._store.max_value_bytes:
             return error_response(400, "the job's description is too long")
@@ -209,7 +212,7 @@
             if response is None:
                 raise
             return response
-        self._reader.remember_open(job, revision, spec.tasks)
+        self._reader.cache_open(job, revision, spec.tasks)
         self._events.on_accepted(key, value, revision)
         _log_accepted(spec)
         return job_response(job, JobState.PENDING, 0, 0, 201)
@@ -217,7 +220,7 @@
     # Query
 
     async def query(self, job_text: str) -> ServerResponse:
-        """Describe a job: 200, or 404 if it was certainly never accepted."""
+        """Describe a job: 200, or 404 if it was certainly never accepted; 503 if that can't be decided."""
         if not is_job_id(job_text):
             return error_response(404, "no such job")
         job = JobId(job_text)
@@ -228,33 +231,34 @@
         if peer_response is not None and peer_response.status == 200:
             return peer_response
         if self._integrity.is_job_proven(job):
-            # Its submission is lost, its tasks are not: it is neither unknown nor, without proof, over.
+            # The submission record is lost, but workers had tasks of the job: it exists, and its end is not proven.
             return job_response(job, JobState.RUNNING, 0, 0)
-        return self._unknown_job()
+        return self._unknown_job_response()
 
     async def _describe_job(self, job: JobId) -> ServerResponse | None:
-        """Return the answer for a job that the store knows, else None.
+        """Return the response for a job that has a record in the store, or None for any other job.
 
-        The leader's counts are asked for first, for which it may take its time: the read decides the state, and
-        nothing is awaited after it. Otherwise the answer could be older than what another node told the user.
+        The leader's task counts are requested before the store is read, as the leader may respond late. The store
+        read decides the state, and nothing is awaited after it; otherwise this response could be older than a
+        response that the user already has from another controller.
         """
         progress = await self._peers.progress(job) if self._reader.find_final(job) is None else None
-        found = await self._reader.find(job)
-        if found is None:
+        lookup_result = await self._reader.find(job)
+        if lookup_result is None:
             return None
-        if isinstance(found, EndedRecord):
-            return _ended_response(job, found)
-        if found.is_unrecorded:
-            # The present leader may have been elected since, and learns of it from nobody else.
-            self._events.on_cancelled(job, found.mod_revision, True)
+        if isinstance(lookup_result, EndedRecord):
+            return _ended_response(job, lookup_result)
+        if lookup_result.is_unrecorded:
+            # A leader that was elected after the cancellation receives it from no other source.
+            self._events.on_cancelled(job, lookup_result.mod_revision, True)
             return job_response(job, JobState.RUNNING, 0, 0)
-        return _open_response(job, found, progress or JobProgress(0, 0))
+        return _open_response(job, lookup_result, progress or JobProgress(0, 0))
 
-    def _unknown_job(self) -> ServerResponse:
-        """Return the answer for a job that the store does not know.
+    def _unknown_job_response(self) -> ServerResponse:
+        """Return the response for a job without a record in the store.
 
-        After a loss, or before it is known that there was none, it may have been accepted all the same: then nobody
-        is told that it was not.
+        After a data loss, or while a data loss is not ruled out, the job may have been accepted. The response is then
+        503 instead of 404.
         """
         if self._integrity.may_unknown_job_exist():
             return error_response(503, "the job is not known, and not all that was lost is", RETRY_AFTER_S)
@@ -263,31 +267,31 @@
     # Cancel
 
     async def cancel(self, job_text: str) -> ServerResponse:
-        """Cancel a job: 200 with its final state once its tasks are proven gone, until then 503."""
+        """Cancel a job: 200 with its final state once its tasks are proven gone, 503 before, 404 if it is unknown."""
         if not is_job_id(job_text):
             return error_response(404, "no such job")
         job = JobId(job_text)
         deadline_at = Instant(self._clock.seconds() + CANCEL_WAIT_S)
-        for _ in range(MAX_CANCEL_TRIES):
+        for _ in range(MAX_CANCEL_ATTEMPTS):
             response = await self._try_cancel(job, deadline_at)
             if response is not None:
                 return response
         return error_response(503, "the job is changing", RETRY_AFTER_S)
 
     async def _try_cancel(self, job: JobId, deadline_at: Instant) -> ServerResponse | None:
-        """Cancel the job as it is read now; return None if that has to be tried again."""
-        found = await self._reader.find(job)
-        if found is None:
+        """Cancel the job in its present state; return None if the job changed meanwhile, to be tried again."""
+        lookup_result = await self._reader.find(job)
+        if lookup_result is None:
             if not self._integrity.is_job_proven(job):
-                return self._unknown_job()
+                return self._unknown_job_response()
             try:
                 return await self._cancel_unrecorded(job, deadline_at)
             except (ConflictError, IndeterminateResultError):
                 return None
-        if isinstance(found, EndedRecord):
-            return job_response(job, found.state, 0, 0)
-        if found.is_cancelled:
-            return await self._await_cancellation(job, found, deadline_at)
+        if isinstance(lookup_result, EndedRecord):
+            return job_response(job, lookup_result.state, 0, 0)
+        if lookup_result.is_cancelled:
+            return await self._await_cancellation(job, lookup_result, deadline_at)
         return await self._cancel_open(job, deadline_at)
 
     async def _cancel_open(self, job: JobId, deadline_at: Instant) -> ServerResponse | None:
@@ -297,7 +301,7 @@
             return None
         record = decode_record(item.value)
         if record.cancelled_at is not None:
-            return await self._await_cancellation(job, self._reader.remember_open_item(job, item), deadline_at)
+            return await self._await_cancellation(job, self._reader.cache_open_item(job, item), deadline_at)
         record.cancelled_at = WallTime(self._clock.seconds())
         value = encode_raw(record)
         try:
@@ -305,47 +309,51 @@
                 [Condition(key, item.mod_revision)], [Put(key, value)], RequestPriority.USER, TRANSACTION_TIMEOUT_S
             )
         except (ConflictError, IndeterminateResultError):
-            # A lost race, or no answer: only a fresh read tells what the job is now.
+            # The job changed, or the store did not respond: only another read shows the job's present state.
             return None
-        log.info("job %s cancelled", job)
+        log.info("cancellation stored job=%s", job)
         self._events.on_accepted(key, value, revision)
-        open_job = self._reader.remember_open(job, revision, record.spec.tasks, True)
+        open_job = self._reader.cache_open(job, revision, record.spec.tasks, True)
         return await self._await_cancellation(job, open_job, deadline_at)
 
     async def _cancel_unrecorded(self, job: JobId, deadline_at: Instant) -> ServerResponse:
-        """Cancel a job whose submission is lost while workers run its tasks.
+        """Cancel an unrecorded job: its submission record is lost while workers run its tasks.
 
-        An end that is not proven is stored, so that the tasks are stopped as any ended job's are. The leader must
-        be told of it, since its watch does not report ended keys; it proves the end later.
+        An unproven end is stored, so that the tasks are stopped like those of any ended job. The leader must be
+        notified, since its watch does not cover ended keys; the leader proves the end later.
         """
-        ended = EndedRecord(JobState.CANCELLED, 0, is_proven=False)
+        ended_record = EndedRecord(JobState.CANCELLED, 0, is_proven=False)
         revision = await self._store.transact(
             absence_conditions(job),
-            [Put(ended_key(job), encode_raw(ended))],
+            [Put(ended_key(job), encode_raw(ended_record))],
             RequestPriority.USER,
             TRANSACTION_TIMEOUT_S,
         )
-        log.info("job %s, known by its tasks only, cancelled", job)
+        log.info("cancellation stored for unrecorded job job=%s", job)
         open_job = OpenJob(revision, 0, is_cancelled=True, is_unrecorded=True)
         return await self._await_cancellation(job, open_job, deadline_at)
 
     async def _await_cancellation(self, job: JobId, open_job: OpenJob, deadline_at: Instant) -> ServerResponse:
-        """Answer once the end of a job is stored whose cancel is stored, or that it has to be asked again.
+        """Wait until the end of a cancelled job is stored; respond 503 if it is not stored by `deadline_at`.
 
-        A stored cancel is no end: tasks may run on on a machine that hangs, or under a leader that does not know of
-        the cancel, and a start that was sent may still arrive. The end is stored once all tasks are proven gone.
+        A stored cancellation does not end the job: its tasks may still run on a machine that hangs, or under a leader
+        without the cancellation, and a start command that was sent may still arrive. The end is stored once all tasks
+        are proven gone.
         """
         self._events.on_cancelled(job, open_job.mod_revision, open_job.is_unrecorded)
-        ended = await self._reader.wait_for_end(job, deadline_at - self._clock.seconds())
-        if ended is None:
-            log.info("job %s: its cancel is stored and not told yet, as its tasks are not proven gone", job)
+        ended_record = await self._reader.wait_for_end(job, deadline_at - self._clock.seconds())
+        if ended_record is None:
+            log.info("cancellation pending, tasks not proven gone job=%s", job)
             return error_response(503, "the cancel is stored, and its tasks are not proven gone", RETRY_AFTER_S)
-        log.info("job %s: its user is told of the cancel", job)
-        return job_response(job, ended.state, 0, 0)
+        log.info("cancellation confirmed to user job=%s", job)
+        return job_response(job, ended_record.state, 0, 0)
 
 
 async def _forward_request(forward: RequestForwarder, operation: str, job: str, body: bytes) -> ServerResponse:
-    """Let a peer answer. What was begun here may be repeated there, as by a user's retry."""
+    """Return a peer's response, or 503 without one.
+
+    The peer may repeat steps that this controller has begun; that has the same effect as a retry by the user.
+    """
     try:
         body.decode()
     except UnicodeDecodeError as error:
@@ -354,15 +362,15 @@
     return response or error_response(503, "nobody who can answer does", RETRY_AFTER_S)
 
 
-def _ended_response(job: JobId, ended: EndedRecord) -> ServerResponse:
-    done_count = ended.task_count if ended.state is JobState.DONE else 0
-    return job_response(job, ended.state, done_count, 0)
+def _ended_response(job: JobId, ended_record: EndedRecord) -> ServerResponse:
+    done_count = ended_record.task_count if ended_record.state is JobState.DONE else 0
+    return job_response(job, ended_record.state, done_count, 0)
 
 
 def _open_response(job: JobId, open_job: OpenJob, progress: JobProgress) -> ServerResponse:
     done_count = progress.done_count
     if progress.running_count == 0:
-        # If all tasks are done but the end is not stored, the job is not done for its user.
+        # A job whose end is not stored is not done for its user, even if all its tasks are.
         done_count = min(done_count, open_job.task_count - 1)
     state = JobState.RUNNING if progress.running_count else JobState.PENDING
     return job_response(job, state, done_count, progress.running_count, forecast_s=progress.forecast_s)
@@ -370,7 +378,8 @@
 
 def _log_accepted(spec: JobSpec) -> None:
     log.info(
-        "job %s accepted: %s of %s, %s, %d tasks of %g CPUs and %g GB, about %.0f s, due after %.0f s",
+        "job accepted job=%s class=%s team=%s priority=%s tasks=%d cpus=%g memory_gb=%g "
+        "estimate_s=%.0f deadline_s=%.0f",
         spec.id,
         spec.job_class,
         spec.team,
--- a/meadowcross/jobs/job_table.py
+++ b/meadowcross/jobs/job_table.py
@@ -1,7 +1,7 @@
-"""The leader's table of open jobs and their tasks, rebuilt from the store when its term begins.
+"""Holds the leader's table of open jobs and their tasks, which is rebuilt from the store when a term begins.
 
-A job's tasks are stored in chunks, one key each: a list with an entry for each task, `[attempt, machine]` while it is
-placed, -1 when it is done, else its last attempt.
+A job's tasks are stored in chunks, one key for each chunk. A chunk is a list with one entry for each task:
+`[attempt, machine]` while the task is placed, -1 when it is done, and the number of its last attempt otherwise.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 DONE_ENTRY = -1
 REQUEUED = 0
 NEVER_PLACED = 1
-"""Waiting tasks that were stopped, lost or failed go before those that were never placed."""
+"""Waiting tasks that were stopped, lost or failed are placed before tasks that were never placed."""
 
 
 class PlacementPhase(IntEnum):
-    """How far a placement is known to have come."""
+    """The last known phase of a placement. INHERITED: an earlier leader stored it and may have sent its start."""
 
     STORING = 0
     STORED = 1
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, eq=False)
 class Placement:
-    """One attempt of a task on a machine. It counts until it is proven gone."""
+    """One attempt of a task on a machine; it takes part of its team's quota until it is proven gone."""
 
     task: TaskId
     attempt: Attempt
@@ -46,19 +46,19 @@
     phase: PlacementPhase
     placed_at: Instant
     is_inherited: bool = field(init=False)
-    """Stored by an earlier leader: it may have run for long before this leader saw it run."""
+    """An earlier leader stored the placement: its task may have run for long before this leader saw it run."""
     running_at: Instant | None = None
     stop_requested_at: Instant | None = None
     grace_s: Seconds = 0.0
     stop_sent_at: Instant | None = None
-    """When its machine was last sent a request to stop it."""
+    """When a stop command for the placement was last sent to its machine."""
 
     def __post_init__(self) -> None:
         self.is_inherited = self.phase is PlacementPhase.INHERITED
 
     @property
     def may_have_started(self) -> bool:
-        """Whether its start may have been sent, by this leader or an earlier one."""
+        """Whether this leader or an earlier one may have sent its start command."""
         return self.phase >= PlacementPhase.SENT
 
 
@@ -79,8 +79,8 @@
         self.submitted_at = record.submitted_at
         self.cancelled_at = record.cancelled_at
         self.is_cancel_stored = record.cancelled_at is not None
-        """Whether the job's record, at the known revision, holds the cancel. After a peer's announcement alone the
-        tasks are stopped, and the job's end is not stored yet."""
+        """Whether the job's record at the known revision holds the cancellation. While the leader only has a peer's
+        announcement of the cancellation, the job's tasks are stopped but its end is not stored."""
         self.chunk_size = record.chunk_size
         self.mod_revision = mod_revision
         self.rank = PRIORITY_RANKS[record.spec.priority]
@@ -94,29 +94,29 @@
         self.paused_until = Instant(0.0)
         self.failed_machines: set[MachineId] = set()
         self.healthy_machines: set[MachineId] = set()
-        """Machines where one of its tasks was done, or ran longer than another took to fail."""
+        """Machines where a task of the job was done, or ran for longer than another task took to fail."""
         self.pause_count = 0
         self.gang_attempt: Attempt | None = None
         self.checkpointed_progress: dict[int, Seconds] = {}
-        """Progress of earlier attempts that the next attempt continues from, where this leader saw it."""
+        """By task index: run time saved by earlier attempts, as seen by this leader; the next attempt continues it."""
         self.has_placed = False
-        """Whether a task of it is or was placed, by any leader."""
+        """Whether any leader has placed a task of the job."""
         self.was_started_by_aging = False
-        """Whether a task of it was placed out of turn because the job had waited for long."""
+        """Whether a task of the job was placed ahead of its priority because the job was starved."""
         self.last_loss_at: Instant | None = None
-        """When this leader last saw a task of it gone."""
+        """When this leader last saw a task of the job gone; None if it has not."""
         self.is_ending = False
         self.deadlines: list[Seconds] | None = None
-        """Cache of `ServiceLevelObjectives.deadlines`."""
+        """Cached result of `ServiceLevelObjectives.deadlines`; None until it is computed."""
 
     @property
     def is_gang(self) -> bool:
-        """Whether its tasks only run together."""
+        """Whether the job's tasks run only all together."""
         return self.spec.kind is JobKind.GANG
 
     @property
     def is_complete(self) -> bool:
-        """Whether all its tasks are done."""
+        """Whether all tasks of the job are done."""
         return self.done_count == self.spec.tasks
 
     @property
@@ -126,32 +126,32 @@
 
     @property
     def is_retrying(self) -> bool:
-        """Whether a task waits that was stopped, lost or failed."""
+        """Whether a task of the job waits again after it was stopped, lost or failed."""
         return bool(self._waiting_tasks) and self._waiting_tasks[0][0] == REQUEUED
 
     @property
     def healthy_machine_count(self) -> int:
-        """The number of machines where it ran well; all that an earlier leader saw counts as one."""
+        """The number of machines where the job ran well; all machines that only earlier leaders saw count as one."""
         return max(len(self.healthy_machines), 1 if self.done_count else 0)
 
     @property
     def is_probing(self) -> bool:
-        """Whether it failed on more machines than it ran well on, so that only one task at a time is placed.
+        """Whether the job failed on more machines than it ran well on, so that only one task at a time is placed.
 
-        One task shows whether the job still fails; hundreds would only delay the starts of other jobs.
+        One task is enough to show whether the job still fails; hundreds of tasks would delay the starts of other jobs.
         """
         return bool(self.failed_machines) and len(self.failed_machines) > self.healthy_machine_count
 
     def pop_waiting_task(self) -> int:
-        """Remove the next waiting task and return its index."""
+        """Remove the next waiting task and return its index. Raises IndexError if no task waits."""
         return heapq.heappop(self._waiting_tasks)[1]
 
     def requeue_task(self, index: int) -> None:
-        """Add a task that was placed to the waiting ones."""
+        """Make a task that was placed wait again."""
         heapq.heappush(self._waiting_tasks, (REQUEUED, index))
 
     def load_chunk(self, first: int, entries: Iterable[StoredTask]) -> Iterator[StoredPlacement]:
-        """Take over a stored chunk whose first task is `first`; yield the placements it holds."""
+        """Load a stored chunk whose first task has index `first`; yield the placements in the chunk."""
         for index, entry in enumerate(entries, first):
             self.has_placed = self.has_placed or entry != 0
             if not isinstance(entry, int):
@@ -166,7 +166,7 @@
                 self.attempts[index] = entry
 
     def rebuild_waiting(self) -> None:
-        """Recompute the waiting tasks from what was loaded."""
+        """Recompute the waiting tasks from the loaded chunks and the placements."""
         self._waiting_tasks = [
             (REQUEUED if self.attempts[index] else NEVER_PLACED, index)
             for index in range(self.spec.tasks)
@@ -179,11 +179,11 @@
         return index // self.chunk_size
 
     def chunk_range(self, chunk: int) -> range:
-        """Return the indexes of the chunk's tasks."""
+        """Return the indexes of the chunk's tasks; the last chunk may be shorter."""
         return range(chunk * self.chunk_size, min((chunk + 1) * self.chunk_size, self.spec.tasks))
 
     def chunk_entries(self, chunk: int) -> list[StoredTask]:
-        """Return the chunk as it is stored."""
+        """Return the chunk's present entries, in the stored form."""
         entries: list[StoredTask] = []
         for index in self.chunk_range(chunk):
             placement = self.placements.get(index)
@@ -202,7 +202,7 @@
 
 
 class ResourceUsage(NamedTuple):
-    """What a team's placed tasks take."""
+    """The resources that a team's placed tasks take."""
 
     cpus: float
     gpus: float
@@ -219,18 +219,18 @@
 
 
 class JobTable:
-    """All open jobs, the chunks that have to be stored, and each team's usage."""
+    """All open jobs, the chunks that have to be stored, and the resource usage of each team."""
 
     def __init__(self) -> None:
         self._lock = RLock()
         self.jobs: dict[JobId, Job] = {}
         self.waiting: dict[JobId, Job] = {}
-        """The jobs with tasks to place: a scheduling pass looks at these only, however many jobs run."""
+        """The jobs with waiting tasks; a scheduling pass reads only these, however many jobs run."""
         self._usage: dict[str, ResourceUsage] = {}
         self.placed_count_by_rank: Counter[int] = Counter()
-        """How many tasks of each rank are placed and not proven gone; no entry for none."""
+        """Number of tasks of each rank that are placed and not proven gone; a rank without such tasks has no entry."""
         self.dirty_chunks: dict[ChunkId, bool] = {}
-        """Chunks to be stored, in the order in which they changed; True: urgent."""
+        """Chunks to be stored, in the order of their first change since the last write, and whether each is urgent."""
 
     def add(self, record: JobRecord, mod_revision: Revision) -> Job:
         """Add an open job as stored at this revision, with all its tasks waiting."""
@@ -241,7 +241,7 @@
             return job
 
     def remove(self, job: JobId) -> None:
-        """Remove a job that has ended, if it is known."""
+        """Remove an ended job and its dirty chunks; a job that is not in the table is ignored."""
         with self._lock:
             removed = self.jobs.pop(job, None)
             self.waiting.pop(job, None)
@@ -250,17 +250,17 @@
                     del self.dirty_chunks[chunk_id]
 
     def usage_of(self, team: str) -> ResourceUsage:
-        """Return what the team's placed tasks take."""
+        """Return the resources that the team's placed tasks take."""
         return self._usage.get(team, NO_USAGE)
 
     def mark_dirty(self, job: Job, index: int, is_urgent: bool) -> None:
-        """Note that the task's chunk has to be stored."""
+        """Record that the task's chunk has to be stored; an urgent chunk stays urgent."""
         with self._lock:
             chunk_id = ChunkId(job.id, job.chunk_of(index))
             self.dirty_chunks[chunk_id] = self.dirty_chunks.get(chunk_id, False) or is_urgent
 
     def place(self, job: Job, index: int, machine: MachineId, now: Instant) -> Placement:
-        """Record a placement, which must be stored before its start is sent."""
+        """Add a placement of a task, which must be stored before its start command is sent."""
         with self._lock:
             if job.is_gang and job.gang_attempt is not None:
                 attempt = job.gang_attempt
@@ -274,7 +274,7 @@
             return placement
 
     def adopt_placement(self, job: Job, index: int, attempt: int, machine: str, now: Instant) -> Placement:
-        """Take over a placement that an earlier leader stored."""
+        """Add a placement that an earlier leader stored."""
         with self._lock:
             task = TaskId(job.id, index)
             placement = Placement(task, Attempt(attempt), MachineId(machine), PlacementPhase.INHERITED, now)
@@ -282,13 +282,13 @@
             return placement
 
     def rebuild_waiting(self, job: Job) -> None:
-        """Recompute the job's waiting tasks once all that earlier leaders stored of it is loaded."""
+        """Recompute the job's waiting tasks, once all its chunks are loaded and their placements adopted."""
         with self._lock:
             job.rebuild_waiting()
             self._remove_if_not_waiting(job)
 
     def release(self, placement: Placement) -> None:
-        """Make the task wait again: the placement is proven gone, or its start was never sent."""
+        """Remove a placement that is proven gone or whose start command was never sent; its task waits again."""
         with self._lock:
             job = self._remove_placement(placement)
             if job is not None:
@@ -296,7 +296,7 @@
                 self.waiting[job.id] = job
 
     def complete_task(self, placement: Placement) -> None:
-        """Record that the placement's task is done."""
+        """Remove the placement and mark its task as done."""
         with self._lock:
             job = self._remove_placement(placement)
             if job is not None:
@@ -309,7 +309,7 @@
         self._adjust_usage(job, 1)
 
     def _remove_placement(self, placement: Placement) -> Job | None:
-        """Remove the placement; return its job, or None if the placement is no longer its task's."""
+        """Remove the placement and return its job; None if the job is not open or its task has another placement."""
         job = self.jobs.get(placement.task.job)
         if job is None or job.placements.get(placement.task.number) is not placement:
             return None
--- a/meadowcross/jobs/messages.py
+++ b/meadowcross/jobs/messages.py
@@ -1,4 +1,7 @@
-"""What users send and read, and how jobs are stored. Wire names and stored names stay in this module."""
+"""Defines the messages of the user API and the stored records of jobs.
+
+Only this module contains their names on the wire and in the store.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 
 
 class JobKind(Enum):
-    """Whether tasks run one by one, all together, or without an end."""
+    """Kind of a job: independent tasks, tasks that run only all together, or tasks that run until they are stopped."""
 
     ARRAY = "batch"
     GANG = "group"
@@ -27,7 +30,7 @@
 
 
 class Priority(Enum):
-    """A job's priority class, highest first."""
+    """Priority class of a job, highest first."""
 
     PRODUCTION = "critical"
     HIGH = "urgent"
@@ -36,11 +39,11 @@
 
 
 PRIORITY_RANKS = {Priority.PRODUCTION: 0, Priority.HIGH: 1, Priority.NORMAL: 2, Priority.LOW: 3}
-"""The lowest rank goes first."""
+"""Rank of each priority; jobs of the lowest rank are placed first."""
 
 
 class JobSpec(Struct, frozen=True):
-    """A submission. A field that may be null may be left out; the others are required."""
+    """A submission. A field that may be null may also be left out; all other fields are required."""
 
     id: _Id
     job_class: _Text = field(name="herd")
@@ -65,12 +68,12 @@
 
 
 def checkpoint_grace_s(checkpoint_save_s: Seconds) -> Seconds:
-    """Return the grace of a stop without hurry: twice the time that saving a checkpoint takes, and a second."""
+    """Return the grace period of a stop that is not urgent: twice the time to save a checkpoint, plus one second."""
     return 2 * checkpoint_save_s + 1.0
 
 
 class JobState(Enum):
-    """A job's state as users see it."""
+    """State of a job in the user API."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -79,41 +82,41 @@
 
 
 class JobRecord(Struct):
-    """An open or just cancelled job, under its open key."""
+    """The stored record of an open job, under its open key; a cancelled job stays open until its end is proven."""
 
     spec: JobSpec
     submitted_at: WallTime = field(name="t")
     chunk_size: int = field(name="k", default=256)
-    """Tasks in one stored chunk, fixed at acceptance so that settings may change later."""
+    """Number of tasks in one stored chunk; fixed at acceptance, so that the settings may change later."""
     cancelled_at: WallTime | None = field(name="c", default=None)
 
 
 class EndedRecord(Struct, omit_defaults=True):
-    """All that a later answer needs of an ended job, under its ended key."""
+    """The stored record of an ended job, under its ended key: the data that later responses need."""
 
     state: JobState = field(name="s")
     task_count: int = field(name="n")
     is_proven: bool = field(name="p", default=True)
-    """False: cancelled while its record was lost, and workers may still have tasks of it."""
+    """False if the job was cancelled as an unrecorded job and workers may still have tasks of it."""
 
 
 ForecastQuantiles = tuple[Seconds, Seconds, Seconds]
-"""Seconds until a job is done, in one, five and nine cases of ten."""
+"""The 10 %, 50 % and 90 % quantiles of the seconds until a job is done."""
 
 
 class JobResponse(Struct, omit_defaults=True):
-    """What users read of a job."""
+    """The description of a job in responses to users."""
 
     id: JobId
     state: JobState = field(name="standing")
     done_count: int | None = field(name="done", default=None)
     running_count: int | None = field(name="running", default=None)
     forecast_s: ForecastQuantiles | None = field(name="endsS", default=None)
-    """Not part of the protocol."""
+    """Quantiles of the remaining time; not part of the protocol."""
 
 
 class JobProgress(NamedTuple):
-    """What the leader knows of an open job, for display."""
+    """Progress of an open job as the leader sees it, for display only."""
 
     done_count: int
     running_count: int
@@ -121,7 +124,7 @@
 
 
 StoredTask = int | tuple[int, str]
-"""One task in a stored chunk: see `jobs.job_table`."""
+"""Entry of one task in a stored chunk; `jobs.job_table` describes the values."""
 
 encode = msgspec.json.Encoder().encode
 decode_spec = msgspec.json.Decoder(JobSpec).decode
@@ -155,6 +158,6 @@
 
 
 def parse_chunk_key(key: str) -> tuple[JobId, int]:
-    """Return the job and the chunk's number of a chunk's key."""
+    """Return the job and the chunk's number from a chunk's key. Raises ValueError if the number is not an integer."""
     job, _, number = key.removeprefix(CHUNK_PREFIX).rpartition("/")
     return JobId(job), int(number)
--- a/meadowcross/jobs/objectives.py
+++ b/meadowcross/jobs/objectives.py
@@ -1,8 +1,8 @@
-"""Service level objectives: by when a job should start and end, and how much slack is left until then.
+"""Service level objectives: when a job should have started and ended, and how much slack is left until then.
 
-A class may have several objectives of one kind, such as a deadline and one and a half times of it, or a start within
-a second and within thirty. A job that can no longer meet the first is not the most urgent for that: it goes by the
-next that it still can. Otherwise jobs without a chance would take the first machines, and the next ones be late too.
+A job class may have several objectives of one kind, such as the deadline and 1.5 times the deadline, or a start
+within 1 s and within 30 s. A job that can no longer meet one objective is ordered by the next one that it can still
+meet. Otherwise jobs that are late anyway would take the first machines and make the jobs after them late, too.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 NO_DEADLINE_S: Seconds = 1e9
 ESTIMATE_TOLERANCE = 0.25
-"""Estimates are often wrong by half: a job that misses a deadline by less than this part of its expected run may
-still meet it."""
+"""Share of its expected run time by which a job may seem to miss a deadline and still be ordered by it, because
+estimates are often wrong by half."""
 OVERDUE_GROWTH = 1.5
-"""Past all its deadlines a job goes by ones that grow by this factor, so that it waits for what can still be in time,
-but not for ever."""
+"""A job that is past all its deadlines is ordered by substitute deadlines that grow by this factor: it waits for jobs
+that can still be in time, but not forever."""
 
 log = get_logger("jobs")
 
@@ -29,16 +29,17 @@
 
 
 def may_wait_for_cheaper_capacity(objectives: Collection[Objective]) -> bool:
-    """Whether work may wait for cheaper machines.
+    """Whether jobs may wait for cheaper machines, given all the objectives.
 
-    A deadline is time that the job's owner gives, and money may be saved within it. Where all objectives run from the
-    submission nobody gives time, and what is kept ready follows from them alone. Without objectives work may wait.
+    A deadline is time that the job's owner grants, and cost may be saved within it. If every objective is a fixed time
+    from the submission, no owner grants time, and the objectives alone decide the capacity that is kept ready. Without
+    objectives jobs may wait.
     """
     return not objectives or any(objective.kind == "deadline" for objective in objectives)
 
 
 class ServiceLevelObjectives:
-    """The users' objectives by job class. All times are seconds since a job's submission."""
+    """The users' objectives by job class; all limits are in seconds since a job's submission."""
 
     def __init__(self, objectives: Collection[Objective]) -> None:
         self._start_limits_s: dict[str | None, list[Seconds]] = {}
@@ -66,21 +67,21 @@
             self._availability_after_s[job_class] = min(objective.after_s or 0.0, earliest_s)
 
     def shortest_start_s(self, job_class: str) -> Seconds | None:
-        """Return the shortest time within which the class's tasks should start."""
+        """Return the shortest time within which tasks of the class should start, or None without such an objective."""
         limits = self._start_limits_s.get(job_class)
         return limits[0] if limits else None
 
     def start_slack(self, spec: JobSpec, elapsed_s: Seconds) -> Seconds:
-        """Return the time until the next limit on the start of the job's tasks; NO_DEADLINE_S past all."""
+        """Return the time until the next limit on the start of the job's tasks; NO_DEADLINE_S if none is left."""
         for limit in self._start_limits_s.get(spec.job_class, ()):
             if elapsed_s <= limit:
                 return limit - elapsed_s
         return NO_DEADLINE_S
 
     def availability_slack(self, spec: JobSpec, elapsed_s: Seconds, was_lost: bool) -> Seconds:
-        """Return the time until a service's waiting replica counts as missing; NO_DEADLINE_S for other jobs.
+        """Return the time until a service's waiting task counts as unavailable; NO_DEADLINE_S for other kinds of job.
 
-        A replica that was lost after it ran is missing at once, a new one from when an objective begins to count.
+        A task that was lost after it ran is unavailable at once, a new task once the availability objective applies.
         """
         if spec.kind is not JobKind.SERVICE:
             return NO_DEADLINE_S
@@ -89,7 +90,7 @@
         return self._availability_after_s.get(spec.job_class, NO_DEADLINE_S) - elapsed_s
 
     def deadlines(self, spec: JobSpec) -> list[Seconds]:
-        """Return the times by which the job should be done, soonest first; they never change."""
+        """Return the times by which the job should be done, soonest first; they never change for a job."""
         deadlines = list(self._finish_limits_s.get(spec.job_class, ()))
         if spec.deadline_s is not None:
             deadlines.append(spec.deadline_s)
@@ -98,9 +99,10 @@
 
 
 def slack(deadlines: list[Seconds], elapsed_s: Seconds, run_s: Seconds) -> Seconds:
-    """Return how long a job's tasks may still wait if it is to meet the next deadline that it can.
+    """Return how long a job's tasks may still wait if the job is to meet the next deadline that it can meet.
 
-    `elapsed_s` is the time since its submission, `run_s` its expected run.
+    `elapsed_s` is the time since the submission, `run_s` the expected run time. The result is negative if the job
+    meets the deadline only with a run that is shorter than expected; it is NO_DEADLINE_S without deadlines.
     """
     if not deadlines:
         return NO_DEADLINE_S
--- a/tests/benchmarks/test_benchmarks.py
+++ b/tests/benchmarks/test_benchmarks.py
@@ -30,7 +30,13 @@
 share = 0.9
 times = 1.0
 """
-ACCEPTED = "I n0 jobs: job wk-{0} accepted: train of a, {1}, {2} tasks of 1 CPUs and 2 GB, about 30 s, due after {3} s"
+ACCEPTED = (
+    "I n0 jobs: job accepted job=wk-{0} class=train team=a priority={1} tasks={2} cpus=1 memory_gb=2 "
+    "estimate_s=30 deadline_s={3}"
+)
+ACCEPTED_BEFORE = (
+    "I n0 jobs: job wk-{0} accepted: train of a, {1}, {2} tasks of 1 CPUs and 2 GB, about 30 s, due after {3} s"
+)
 LOG = [
     "0.5 n0 " + ACCEPTED.format("000001", "normal", 8, 60),
     "1.0 n0 D n0 fleet: machine i-1 rented: small in east, spot",
@@ -44,7 +50,7 @@
     *(f"73.0 n0 D n0 leadership: task wk-000001/{n} done on i-1 after 30.00 s" for n in range(3, 7)),
     "73.1 n0 D n0 leadership: task wk-000001/7 runs on i-1 after 0.30 s",
     "103.1 n0 D n0 leadership: task wk-000001/7 done on i-1 after 30.00 s",
-    "103.2 n0 I n0 jobs: job wk-000001 ended: done, 103 s after its submission, due after 60 s",
+    "103.2 n0 I n0 jobs: job ended job=wk-000001 state=done elapsed_s=103 (deadline_s=60)",
     "111.0 n0 I n0 fleet: machine i-1 condemned with 0 tasks: idle for 7 s",
     "111.0 n0 I n0 fleet: deleted i-1, i-2",
 ]
@@ -65,6 +71,21 @@
     assert [run.why for run in job.runs if run.why != "done"] == ["stopped"]
 
 
+def test_lines_of_jobs_in_the_form_before_are_read_alike():
+    day, day_before = (
+        read(["0.5 n0 " + accepted.format("000001", "normal", 8, 60), "103.2 n0 I n0 jobs: " + ended])
+        for accepted, ended in (
+            (ACCEPTED, "job ended job=wk-000001 state=done elapsed_s=103 (deadline_s=60)"),
+            (ACCEPTED_BEFORE, "job wk-000001 ended: done, 103 s after its submission, due after 60 s"),
+        )
+    )
+    job = day.jobs["wk-000001"]
+    assert (job.job_class, job.team, job.priority, job.tasks) == ("train", "a", "normal", 8)
+    assert (job.cpus, job.memory_gb, job.estimate_s, job.due_s) == (1.0, 2.0, 30.0, 60.0)
+    assert (job.ended, job.standing) == (103.2, "done")
+    assert day_before.jobs == day.jobs
+
+
 def test_every_paid_second_is_told_once():
     spent = money(read(LOG), {("small", True): 3600.0, ("small", False): 3600.0}, {"small": 4.0})
     assert sum(v for k, v in spent.items() if not k.startswith("(")) == pytest.approx(110.0 + 110.0)
@@ -215,6 +236,18 @@
 def test_how_long_users_waited_for_the_word_on_a_cancel(tmp_path, capsys):
     log = tmp_path / "day.log"
     log.write_text(
+        "10.0 n0 I n0 jobs: cancellation stored job=wk-000001\n"
+        "10.1 n0 I n0 jobs: cancellation confirmed to user job=wk-000001\n"
+        "11.0 n1 I n1 jobs: cancellation stored job=wk-000002\n"
+        "11.2 n1 I n1 jobs: cancellation pending, tasks not proven gone job=wk-000002\n"
+        "12.3 n2 I n2 jobs: cancellation pending, tasks not proven gone job=wk-000002\n"
+        "14.0 n0 I n0 jobs: job ended job=wk-000002 state=cancelled elapsed_s=3 (no deadline)\n"
+        "15.0 n0 I n0 jobs: cancellation stored job=wk-000003\n"
+        "15.1 n0 I n0 jobs: cancellation stored for unrecorded job job=wk-000004\n"
+        "no line of a log\n"
+    )
+    before = tmp_path / "before.log"
+    before.write_text(
         "10.0 n0 I n0 jobs: job wk-000001 cancelled\n"
         "10.1 n0 I n0 jobs: job wk-000001: its user is told of the cancel\n"
         "11.0 n1 I n1 jobs: job wk-000002 cancelled\n"
@@ -222,16 +255,18 @@
         "12.3 n2 I n2 jobs: job wk-000002: its cancel is stored and not told yet, as its tasks may still be kept\n"
         "14.0 n0 I n0 jobs: job wk-000002 ended: cancelled, 3 s after its submission\n"
         "15.0 n0 I n0 jobs: job wk-000003 cancelled\n"
+        "15.1 n0 I n0 jobs: job wk-000004, known by its tasks only, cancelled\n"
         "no line of a log\n"
     )
-    assert cancels.main([str(log), "--json"]) == 0
-    assert json.loads(capsys.readouterr().out) == {
-        "stored": 3,
-        "told": 2,
-        "withheld_at_first": 1,
-        "later_than_1_s": 1,
-        "p50_s": 3.0,
-        "p95_s": 3.0,
-        "longest_s": 3.0,
-    }
+    for file in (log, before):
+        assert cancels.main([str(file), "--json"]) == 0
+        assert json.loads(capsys.readouterr().out) == {
+            "stored": 3,
+            "told": 2,
+            "withheld_at_first": 1,
+            "later_than_1_s": 1,
+            "p50_s": 3.0,
+            "p95_s": 3.0,
+            "longest_s": 3.0,
+        }
     assert cancels.main([str(tmp_path / "none")]) == 2
