--- a/meadowcross/jobs/api.py
+++ b/meadowcross/jobs/api.py
@@ -55,8 +55,8 @@
 def job_response(
     job: JobId,
     state: JobState,
-    done: int,
-    running: int,
+    done_count: int,
+    running_count: int,
     status: int = 200,
     forecast_s: ForecastQuantiles | None = None,
 ) -> ServerResponse:
@@ -65,7 +65,7 @@
     if forecast_s is not None:
         early_s, median_s, late_s = forecast_s
         rounded_s = (round(early_s, 1), round(median_s, 1), round(late_s, 1))
-    return ServerResponse(status, encode(JobResponse(job, state, done, running, rounded_s)) + b"\n")
+    return ServerResponse(status, encode(JobResponse(job, state, done_count, running_count, rounded_s)) + b"\n")
 
 
 def is_job_id(text: str) -> bool:
--- a/meadowcross/jobs/collaborators.py
+++ b/meadowcross/jobs/collaborators.py
@@ -71,7 +71,7 @@
     forward: RequestForwarder = _no_response
     """Forwards a request to a peer that has access to the store."""
     leader_forwarder: Callable[[], RequestForwarder | None] = lambda: None
-    """Returns the forwarder to the leader while only the leader knows all ended jobs; None otherwise."""
+    """Returns the forwarder to the leader while only the leader has all ended jobs; None otherwise."""
     ask_peer_with_history: Callable[[JobId], Awaitable[ServerResponse | None]] = _no_response
     """Queries a peer that has followed the store for longer, for a job without a record in the store."""
     has_unknown_leader: Callable[[], bool] = lambda: False
--- a/meadowcross/workers/registry.py
+++ b/meadowcross/workers/registry.py
@@ -70,7 +70,7 @@
         these, since few machines of a busy fleet have a free CPU."""
 
     def add(self, machine: Machine) -> Machine:
-        """Add a machine; return the machine that already has this name, if there is one, instead."""
+        """Add a machine and return it; return the machine that already has its name instead, if there is one."""
         with self._lock:
             registered = self.machines.setdefault(machine.id, machine)
             self._update_free_cpu(registered)
--- a/tests/jobs/test_api.py
+++ b/tests/jobs/test_api.py
@@ -1,4 +1,4 @@
-"""The user API on any node: bad input of each kind, repeats, cancels, races."""
+"""The user API of a controller: malformed input, resubmissions, cancellations, forwarding to peers, and load limits."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from tests.support.peers import connect_quiet_node
 from tests.support.world import job
 
-BAD = [
+SUBMISSIONS = [
     ("not JSON", b"{", 400),
     ("not an object", b"[1]", 400),
     ("not UTF-8", b'{"id":"\xff"}', 400),
@@ -34,10 +34,10 @@
     ("no tasks", job(heads=0), 400),
     ("too many tasks", job(heads=100_001), 400),
     ("no CPUs", job(cpus=0.0), 400),
-    ("negative", job(memoryGb=-1.0), 400),
+    ("negative memory", job(memoryGb=-1.0), 400),
     ("unknown kind", job(breed="flock"), 400),
     ("unknown priority", job(rank="soon"), 400),
-    ("id of another form", job(id="job-1"), 400),
+    ("malformed id", job(id="job-1"), 400),
     ("unknown team", job(steward="nobody"), 422),
     ("fits no type", job(cpus=64.0), 422),
     ("fits no allowed type", job(cpus=8.0, builds=["small"]), 422),
@@ -46,108 +46,111 @@
     ("gang above the limit", job(steward="a", breed="group", heads=9), 422),
     ("service above the limit", job(steward="a", breed="daemon", heads=9), 422),
     ("spread in one zone", job(scatter=True, oneZone=True), 422),
-    ("array above the limit in all", job(steward="a", heads=9), 201),
+    ("array above the limit in total", job(steward="a", heads=9), 201),
     ("nulls left out", job(builds=..., field=..., sundownS=...), 201),
 ]
 
 
-@pytest.mark.parametrize(("body", "status"), [b[1:] for b in BAD], ids=[b[0] for b in BAD])
-def test_submissions(world, body, status):
-    raw = body if isinstance(body, bytes) else json.dumps(body).encode()
-    answer = world.run(world.api().submit(raw))
-    assert answer.status == status
-    assert json.loads(answer.body) and answer.body.count(b"\n") == 1
+@pytest.mark.parametrize(("body", "status"), [case[1:] for case in SUBMISSIONS], ids=[case[0] for case in SUBMISSIONS])
+def test_submission_status(world, body, status):
+    raw_body = body if isinstance(body, bytes) else json.dumps(body).encode()
+    response = world.run(world.api().submit(raw_body))
+    assert response.status == status
+    assert json.loads(response.body) and response.body.count(b"\n") == 1
 
 
-def test_a_repeat_gets_200_on_any_node_also_when_it_would_be_refused_now(world):
+def test_resubmission_returns_200_even_if_the_job_would_be_rejected_now(world):
     assert world.submit().status == 201
     assert world.submit().status == 200
-    world.types = [t for t in world.types if t.name == "none"] or world.types[:1]
+    world.types = [machine_type for machine_type in world.types if machine_type.name == "none"] or world.types[:1]
     assert world.submit(cpus=8.0).status == 200
 
 
-def test_unknown_jobs_get_404_from_a_fresh_read_and_503_without_one(world):
+def test_unknown_job_returns_404_after_a_store_read_and_503_in_a_store_outage(world):
     assert world.run(world.api().query("wk-999999")).status == 404
     assert world.run(world.api().query("what")).status == 404
     world.state.outage = True
     api = world.api()
     for operation, arguments in (("query", (b"", "wk-999999")), ("submit", (json.dumps(job()).encode(),))):
-        answer = world.run(api.build_handler(operation)(*arguments))
-        assert (answer.status, answer.retry_after) == (503, 1)
+        response = world.run(api.build_handler(operation)(*arguments))
+        assert (response.status, response.retry_after) == (503, 1)
 
 
-def test_a_node_that_does_not_know_the_types_decides_nothing(world):
+def test_submission_returns_503_until_machine_types_are_known(world):
     world.types = []
-    answer = world.submit()
-    assert (answer.status, answer.retry_after) == (503, 1)
+    response = world.submit()
+    assert (response.status, response.retry_after) == (503, 1)
     assert world.state.keys == {}
     assert world.api().ready(b"").status == 503
 
 
 @pytest.mark.parametrize("fault", ["lose", "late"])
-def test_an_acceptance_without_an_answer_is_read_again(world, fault):
+def test_submission_whose_transaction_gets_no_response_is_looked_up(world, fault):
+    """Guards against a wrong response if the store's response is lost ("lose"), or the transaction applies late."""
     world.net.faults.append(("state:1/multi", fault))
     api = world.api()
-    answer = world.run(api.build_handler("submit")(json.dumps(job()).encode()))
-    assert answer.status == (200 if fault == "lose" else 503)
+    response = world.run(api.build_handler("submit")(json.dumps(job()).encode()))
+    assert response.status == (200 if fault == "lose" else 503)
     world.net.deliver_late()
-    # The late one applied: the retry is told so, and nothing is accepted twice.
+    # The late transaction has applied: the resubmission finds the job, and nothing is accepted twice.
     assert world.submit().status == 200
 
 
 @pytest.mark.parametrize("fault", [None, "lose", "late"])
-def test_cancel(world, fault):
+def test_cancel_returns_cancelled_once_all_tasks_are_gone(world, fault):
     world.lead()
     world.submit(grazeS=900.0)
     world.pass_time(8.0)
     assert len(world.running()) == 2
     if fault:
         world.net.faults.append(("state:1/multi", fault))
-    answer = world.run(world.api().cancel("wk-000001"))
-    assert json.loads(answer.body)["standing"] == "cancelled"
+    response = world.run(world.api().cancel("wk-000001"))
+    assert json.loads(response.body)["standing"] == "cancelled"
     assert world.running() == []
     assert all(status == 409 for status, _ in world.net.deliver_late())
     assert json.loads(world.submit(grazeS=900.0).body)["standing"] == "cancelled"
     assert json.loads(world.run(world.api().query("wk-000001")).body)["standing"] == "cancelled"
 
 
-def test_a_cancel_without_its_end_is_told_as_pending_and_waits_in_bounds(world):
-    """Nobody leads, so nothing is proven: the cancel is stored, whoever asks gets what is true, and the first request
-    and its repeats wait, but not for long, for no store request each, and not beyond a bound."""
+def test_unproven_cancellation_returns_503_after_a_bounded_wait(world):
+    """Without a leader no end is proven, so the cancellation is only stored and the job stays pending.
+
+    The first request and its retries wait for a short time, share store requests, and are bounded in number.
+    """
     world.submit()
-    words = []
-    api = world.api(events=JobEvents(on_cancelled=lambda *word: words.append(word)))
-    before = world.clock.seconds()
-    answer = world.run(api.cancel("wk-000001"), 4.0)
-    assert (answer.status, answer.retry_after) == (503, 1) and 2.0 < world.clock.seconds() - before < 3.0
-    mark = world.state.keys["j/wk-000001"]["mark"]
-    assert words == [("wk-000001", mark, False)] and world.state.value("j/wk-000001")["c"] is not None
-    for again in (world.submit(), world.run(api.query("wk-000001"))):
-        assert again.status == 200 and json.loads(again.body)["standing"] == "pending"
-    answers, calls = [], len(world.net.calls)
+    cancellations = []
+    api = world.api(events=JobEvents(on_cancelled=lambda *cancellation: cancellations.append(cancellation)))
+    started_at = world.clock.seconds()
+    first = world.run(api.cancel("wk-000001"), 4.0)
+    assert (first.status, first.retry_after) == (503, 1) and 2.0 < world.clock.seconds() - started_at < 3.0
+    revision = world.state.keys["j/wk-000001"]["mark"]
+    assert cancellations == [("wk-000001", revision, False)] and world.state.value("j/wk-000001")["c"] is not None
+    for pending_response in (world.submit(), world.run(api.query("wk-000001"))):
+        assert pending_response.status == 200 and json.loads(pending_response.body)["standing"] == "pending"
+    responses, call_count = [], len(world.net.calls)
     for _ in range(MAX_END_WAITERS + 5):
-        Deferred.fromCoroutine(api.cancel("wk-000001")).addCallback(answers.append)
+        Deferred.fromCoroutine(api.cancel("wk-000001")).addCallback(responses.append)
     world.pass_time(1.0)
-    assert [one.status for one in answers] == [503] * 5 and len(world.net.calls) - calls < 10
-    # Followed: whoever waits hears of it at once, but not of an end that is not proven.
-    for proven in (False, True):
-        assert len(answers) == 5
-        api.on_ended_stored("e/wk-000001", encode_raw(EndedRecord(JobState.CANCELLED, 2, proven)))
-    assert len(answers) == MAX_END_WAITERS + 5 and api._reader._end_waiters == {}
-    assert {json.loads(one.body)["standing"] for one in answers[5:]} == {"cancelled"}
+    assert [response.status for response in responses] == [503] * 5 and len(world.net.calls) - call_count < 10
+    # The replica's watch reports the end: the waiting requests are answered at once, but not for an unproven end.
+    for is_proven in (False, True):
+        assert len(responses) == 5
+        api.on_ended_stored("e/wk-000001", encode_raw(EndedRecord(JobState.CANCELLED, 2, is_proven)))
+    assert len(responses) == MAX_END_WAITERS + 5 and api._reader._end_waiters == {}
+    assert {json.loads(response.body)["standing"] for response in responses[5:]} == {"cancelled"}
 
 
-MALFORMED = ["what", "wk-", "wk-12", "wk-00000x", "wk-0000001\u0661", "wk-9999999999999999999", "%2e%2e"]
+MALFORMED_IDS = ["what", "wk-", "wk-12", "wk-00000x", "wk-0000001\u0661", "wk-9999999999999999999", "%2e%2e"]
 
 
-@pytest.mark.parametrize("name", MALFORMED)
-def test_a_malformed_id_is_unknown_and_never_an_error(world, name):
+@pytest.mark.parametrize("job_text", MALFORMED_IDS)
+def test_malformed_job_id_returns_404(world, job_text):
     api = world.api()
     for operation in ("query", "cancel"):
-        assert world.run(api.build_handler(operation)(b"\xff{", name)).status == 404
+        assert world.run(api.build_handler(operation)(b"\xff{", job_text)).status == 404
 
 
-def test_cancel_of_a_job_that_is_done_says_done(world):
+def test_cancel_of_a_done_job_returns_done(world):
     world.submit()
     world.state.transact(
         {"if": [], "writes": [{"drop": "j/wk-000001"}, {"write": "e/wk-000001", "data": {"s": "done", "n": 2}}]}
@@ -156,56 +159,60 @@
     assert world.run(world.api().cancel("wk-000002")).status == 404
 
 
-ELSEWHERE = [
-    # name, whether the store refuses this node, whether a peer has it, what a peer answers, status here
-    ("the store answers", False, True, None, 201),
-    ("only this node is refused", True, True, ServerResponse(201, b"{}\n"), 201),
-    ("the peer refuses too, with a time to come back", True, True, ServerResponse(503, b"{}\n", 1), 503),
-    ("the peer does not answer in time", True, True, None, 503),
-    ("no node has the store", True, False, ServerResponse(201, b"{}\n"), 503),
+FORWARDED_SUBMISSIONS = [
+    # name, whether this controller is cut off, whether a peer has the store, the peer's response, expected status
+    ("the store responds", False, True, None, 201),
+    ("only this controller is cut off", True, True, ServerResponse(201, b"{}\n"), 201),
+    ("the peer responds 503 with a retry time", True, True, ServerResponse(503, b"{}\n", 1), 503),
+    ("the peer does not respond in time", True, True, None, 503),
+    ("no controller has the store", True, False, ServerResponse(201, b"{}\n"), 503),
 ]
 
 
 @pytest.mark.parametrize(
-    ("refused", "peer", "theirs", "status"), [e[1:] for e in ELSEWHERE], ids=[e[0] for e in ELSEWHERE]
+    ("is_cut_off", "peer_has_store", "peer_response", "status"),
+    [case[1:] for case in FORWARDED_SUBMISSIONS],
+    ids=[case[0] for case in FORWARDED_SUBMISSIONS],
 )
-def test_a_node_that_the_store_refuses_alone_asks_a_peer(world, refused, peer, theirs, status):
-    asked = []
-
-    async def forward(operation, job_text, body):
-        asked.append((operation, json.loads(body)["id"]))
-        return theirs
-
-    api = world.api(PeerQueries(has_store=lambda: peer, forward=forward))
-    world.state.outage = refused
-    for again in (False, True):
-        answer = world.run(api.build_handler("submit")(json.dumps(job()).encode()))
-        assert answer.status == (200 if again and not refused else status)
-        assert answer.retry_after == (1 if status == 503 else None)
-    assert asked == ([("submit", "wk-000001")] * 2 if refused and peer else [])
-    # What is no text can't be passed on, and is malformed anyway.
-    if refused and peer:
+def test_submission_is_forwarded_if_only_this_controller_is_cut_off(
+    world, is_cut_off, peer_has_store, peer_response, status
+):
+    forwarded = []
+
+    async def forward(operation, _job_text, body):
+        forwarded.append((operation, json.loads(body)["id"]))
+        return peer_response
+
+    api = world.api(PeerQueries(has_store=lambda: peer_has_store, forward=forward))
+    world.state.outage = is_cut_off
+    for is_resubmission in (False, True):
+        response = world.run(api.build_handler("submit")(json.dumps(job()).encode()))
+        assert response.status == (200 if is_resubmission and not is_cut_off else status)
+        assert response.retry_after == (1 if status == 503 else None)
+    assert forwarded == ([("submit", "wk-000001")] * 2 if is_cut_off and peer_has_store else [])
+    # A body that is not UTF-8 can't be forwarded, and is malformed anyway.
+    if is_cut_off and peer_has_store:
         assert world.run(api.build_handler("submit")(b"\xff")).status == 400
 
 
-class Wire:
-    """The transport between two nodes' ends of the peer link."""
+class DirectTransport:
+    """A transport that delivers data to the protocol at the other end at once."""
 
     def __init__(self):
-        self.other = None
+        self.other_end = None
 
     def write(self, data):
-        self.other.dataReceived(data)
+        self.other_end.dataReceived(data)
 
     def writeSequence(self, parts):
         self.write(b"".join(parts))
 
     def setTcpNoDelay(self, on):
-        """Nothing to set."""
+        """Ignore the option."""
 
 
 class CountingLink(PeerLink):
-    """Counts the requests that it is asked."""
+    """Counts the requests that it receives."""
 
     requests_received = 0
 
@@ -214,25 +221,25 @@
         super().on_message(connection, message)
 
 
-def linked(world, serve, counts):
-    """Two peer links joined by a connection: the asking one and the asked one."""
+def connect_links(world, serve, progress_by_job):
+    """Return two connected peer links: the first sends requests, the second serves them."""
 
-    def link(name, store_ok):
-        beat = PeerHeartbeat(NodeName(name), store_ok, FencingToken(7) if store_ok else None, 5)
-        return connect_quiet_node(CountingLink(world.clock, []), beat, counts.get, serve), beat
+    def build_link(name, has_store):
+        heartbeat = PeerHeartbeat(NodeName(name), has_store, FencingToken(7) if has_store else None, 5)
+        return connect_quiet_node(CountingLink(world.clock, []), heartbeat, progress_by_job.get, serve), heartbeat
 
-    (asking, _), (asked, asked_beat) = link("n0", False), link("n1", True)
-    ends = PeerProtocol(asking, NodeName("n1")), PeerProtocol(asked)
-    # The one that only answers first: the other speaks as soon as it is connected.
-    for end, other in (ends[::-1], ends):
-        wire = Wire()
-        wire.other = other
-        end.makeConnection(wire)
-    ends[1].send(asked_beat)
-    return asking, asked
+    (client, _), (server, server_heartbeat) = build_link("n0", False), build_link("n1", True)
+    ends = PeerProtocol(client, NodeName("n1")), PeerProtocol(server)
+    # The server's end is connected first, because the client's end sends as soon as it is connected.
+    for end, other_end in (ends[::-1], ends):
+        transport = DirectTransport()
+        transport.other_end = other_end
+        end.makeConnection(transport)
+    ends[1].send(server_heartbeat)
+    return client, server
 
 
-def test_the_peer_link_passes_requests_on_and_gathers_questions_for_counts(world):
+def test_peer_link_forwards_requests_and_batches_progress_requests(world):
     served = []
 
     async def serve(operation, job_text, body):
@@ -241,46 +248,47 @@
             503 if operation == "cancel" else 200, b'{"x":"\\u00e9"}\n', 1 if operation == "cancel" else None
         )
 
-    link, asked = linked(world, serve, {"wk-000001": JobProgress(3, 2, (1.0, 2.0, 3.0))})
+    link, server = connect_links(world, serve, {"wk-000001": JobProgress(3, 2, (1.0, 2.0, 3.0))})
     status = link.status
-    # The largest body that is taken, of characters that JSON escapes.
+    # The largest accepted body, of characters that JSON escapes.
     body = b'"' * MAX_BODY
     assert world.run(link.forward("submit", "", body)) == ServerResponse(200, b'{"x":"\\u00e9"}\n')
     assert world.run(link.forward("cancel", "wk-000001", b"")).retry_after == 1
     assert served == [("submit", "", MAX_BODY), ("cancel", "wk-000001", 0)]
     assert (status.peer_has_store(), status.most_workers_heard(), status.reported_leader()) == (True, 5, ("n1", 7))
-    answers = []
-    for name in ("wk-000001", "wk-000002", "wk-000001"):
-        link.request_progress(NodeName("n1"), name).addCallback(answers.append)
+    progress = []
+    for job_id in ("wk-000001", "wk-000002", "wk-000001"):
+        link.request_progress(NodeName("n1"), job_id).addCallback(progress.append)
     world.pass_time(0.1)
-    assert answers == [(3, 2, (1.0, 2.0, 3.0)), (3, 2, (1.0, 2.0, 3.0)), None] and asked.requests_received == 3
-    # A peer that has fallen silent is asked no more.
+    assert progress == [(3, 2, (1.0, 2.0, 3.0)), (3, 2, (1.0, 2.0, 3.0)), None] and server.requests_received == 3
+    # A silent peer receives no more requests.
     world.clock.advance(10.0)
     assert world.run(link.forward("query", "wk-000001", b"")) is None
     assert (status.peer_has_store(), status.most_workers_heard(), status.reported_leader()) == (False, None, None)
 
 
-def test_a_storm_of_questions_is_refused_at_once_and_keeps_nobody_from_submitting(world):
+def test_query_flood_gets_503_at_once_and_does_not_block_submissions(world):
     api = world.api()
-    answers = []
+    responses = []
     for number in range(MAX_OPEN_REQUESTS + 50):
-        Deferred.fromCoroutine(api.build_handler("query")(b"", f"wk-{number:06d}")).addCallback(answers.append)
-    assert [(a.status, a.retry_after) for a in answers] == [(503, 1)] * 50
-    submitted = []
-    work = api.build_handler("submit")(json.dumps(job()).encode())
-    Deferred.fromCoroutine(work).addCallback(submitted.append)
+        Deferred.fromCoroutine(api.build_handler("query")(b"", f"wk-{number:06d}")).addCallback(responses.append)
+    assert [(response.status, response.retry_after) for response in responses] == [(503, 1)] * 50
+    submit_responses = []
+    submission = api.build_handler("submit")(json.dumps(job()).encode())
+    Deferred.fromCoroutine(submission).addCallback(submit_responses.append)
     world.pass_time(5.0)
-    assert submitted[0].status == 201
-    assert [a.status for a in answers].count(404) >= MAX_OPEN_REQUESTS - 1
-    # All that was open is closed again.
+    assert submit_responses[0].status == 201
+    assert [response.status for response in responses].count(404) >= MAX_OPEN_REQUESTS - 1
+    # All open requests are closed again.
     assert world.run(api.build_handler("query")(b"", "wk-000001")).status == 200 and not +api._open_requests
 
 
-def test_a_node_keeps_sockets_back_for_what_it_asks_itself():
+def test_api_server_rejects_connections_above_its_limit():
+    """The limit keeps sockets free for the controller's own requests to the store, the workers and the cloud."""
     factory = build_api_factory(Router(), Clock(), max_connections=2)
     first, second = (factory.buildProtocol(None) for _ in range(2))
     for channel in (first, second):
         channel.makeConnection(StringTransport())
-    assert factory.buildProtocol(None) is None, "closed as it comes"
+    assert factory.buildProtocol(None) is None, "a connection above the limit is closed at once"
     first.connectionLost(Failure(ConnectionDone()))
     assert factory.buildProtocol(None) is not None
--- a/tests/jobs/test_job_reader.py
+++ b/tests/jobs/test_job_reader.py
@@ -1,4 +1,4 @@
-"""Questions share reads, and every answer that is not final rests on a read begun after it."""
+"""Job lookups share store reads, and every result that is not final rests on a read that began after the lookup."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from meadowcross.jobs.job_reader import ABSENT_JOB, JobReader
 
 
-def put(world, *numbers, cancelled=False):
+def store_open_jobs(world, *numbers, cancelled=False):
     for number in numbers:
         spec = {"id": f"wk-{number:06d}", "herd": "h", "steward": "b", "breed": "batch", "rank": "normal", "heads": 3}
         spec |= {"cpus": 1.0, "gpus": 0.0, "memoryGb": 1.0, "feedstock": "i", "pullGb": 0.0, "oneZone": False}
@@ -21,134 +21,140 @@
         world.state.transact({"if": [], "writes": [{"write": f"j/wk-{number:06d}", "data": data}]})
 
 
-def end(world, number, standing="done"):
+def store_end(world, number, standing="done"):
     writes = [{"drop": f"j/wk-{number:06d}"}, {"write": f"e/wk-{number:06d}", "data": {"s": standing, "n": 3}}]
     world.state.transact({"if": [], "writes": writes})
 
 
-def ask(world, lookup, numbers, seconds=1.0):
-    """What all the questions, asked at one moment, are answered, and the requests it took."""
-    answers = {}
-    before = len(world.net.calls)
+def look_up(world, reader, numbers, seconds=1.0):
+    """Look up the jobs at the same time; return the results by number, and the paths of the store requests."""
+    results = {}
+    first_call = len(world.net.calls)
 
-    def keep(found, number):
-        # Nothing is returned: an error that is kept is handled.
-        answers.setdefault(number, found)
+    def keep_result(result, number):
+        # Returns None, so that a failure that is kept counts as handled.
+        results.setdefault(number, result)
 
     for number in numbers:
-        lookup.find(f"wk-{number:06d}").addBoth(keep, number)
+        reader.find(f"wk-{number:06d}").addBoth(keep_result, number)
     world.pass_time(seconds)
-    return answers, [path for _, path, _ in world.net.calls[before:]]
+    return results, [path for _, path, _ in world.net.calls[first_call:]]
 
 
-REQUESTS = [
-    # name, jobs there, jobs asked for, the most requests at first, and once they are known
+REQUEST_LIMITS = [
+    # name, stored jobs, jobs to look up, the most requests of the first lookup, and of later lookups
     ("one job", [1], [1], 1, 1),
-    ("a few", [1, 2, 3], [1, 2, 3], 3, 1),
-    ("many unknown ones read as a range", range(1, 40), range(1, 40), 1, 1),
-    ("hundreds", range(1, 301), range(1, 301), 7, 7),
-    ("one that nobody submitted", [], [1], 2, 1),
+    ("a few jobs", [1, 2, 3], [1, 2, 3], 3, 1),
+    ("many unknown jobs read as a range", range(1, 40), range(1, 40), 1, 1),
+    ("hundreds of jobs", range(1, 301), range(1, 301), 7, 7),
+    ("an absent job", [], [1], 2, 1),
 ]
 
 
-@pytest.mark.parametrize(("there", "asked", "first", "then"), [c[1:] for c in REQUESTS], ids=[c[0] for c in REQUESTS])
-def test_questions_share_reads(world, there, asked, first, then):
-    put(world, *there)
-    lookup = JobReader(world.clock, world.store)
-    for most in (first, then, then):
-        answers, requests = ask(world, lookup, [*asked, *asked])
-        assert [n for n in asked if answers[n] is None] == [n for n in asked if n not in there]
-        assert len(requests) <= most, requests
-
-
-def test_who_is_found_is_answered_before_others_are_read(world):
-    """What a round found out is not kept back while it reads on for other jobs: with a slow store such an answer, older
-    by then than what another node had told, once came seconds late."""
-    put(world, 1, 2)
-    lookup = JobReader(world.clock, world.store)
-    ask(world, lookup, [1])
-    answers = {}
-    world.store.get = lambda *arguments: Deferred()
+@pytest.mark.parametrize(
+    ("stored", "numbers", "first_limit", "later_limit"),
+    [case[1:] for case in REQUEST_LIMITS],
+    ids=[case[0] for case in REQUEST_LIMITS],
+)
+def test_lookups_share_store_requests(world, stored, numbers, first_limit, later_limit):
+    store_open_jobs(world, *stored)
+    reader = JobReader(world.clock, world.store)
+    for limit in (first_limit, later_limit, later_limit):
+        results, requests = look_up(world, reader, [*numbers, *numbers])
+        assert [n for n in numbers if results[n] is None] == [n for n in numbers if n not in stored]
+        assert len(requests) <= limit, requests
+
+
+def test_results_are_delivered_before_other_jobs_are_read(world):
+    """Guards against results that wait until a batch has read its other jobs.
+
+    With a slow store such a result was delivered seconds late, after another controller had reported a newer one.
+    """
+    store_open_jobs(world, 1, 2)
+    reader = JobReader(world.clock, world.store)
+    look_up(world, reader, [1])
+    results = {}
+    world.store.get = lambda *_arguments: Deferred()
     for number in (1, 2):
-        lookup.find(f"wk-{number:06d}").addBoth(lambda found, n=number: answers.setdefault(n, found))
+        reader.find(f"wk-{number:06d}").addBoth(lambda result, n=number: results.setdefault(n, result))
     world.pass_time(0.2)
-    assert answers[1].task_count == 3 and 2 not in answers
+    assert results[1].task_count == 3 and 2 not in results
 
 
-def test_a_question_that_waits_for_counts_is_not_answered_from_before(world):
-    """The counts come from the leader, who may take its time; the read comes after them."""
-    put(world, 1)
-    counts, answers = Deferred(), []
-    api = world.api(PeerQueries(progress=lambda job: counts))
-    Deferred.fromCoroutine(api.query("wk-000001")).addCallback(answers.append)
+def test_query_reads_the_store_after_the_progress_request(world):
+    """The leader may respond late with the task counts; a store read before the response could be outdated."""
+    store_open_jobs(world, 1)
+    progress, responses = Deferred(), []
+    api = world.api(PeerQueries(progress=lambda _job: progress))
+    Deferred.fromCoroutine(api.query("wk-000001")).addCallback(responses.append)
     world.pass_time(0.3)
-    end(world, 1)
+    store_end(world, 1)
     assert json.loads(world.run(world.api().cancel("wk-000001")).body)["standing"] == "done"
-    counts.callback(None)
+    progress.callback(None)
     world.pass_time(0.3)
-    assert json.loads(answers[0].body)["standing"] == "done"
-
-
-def test_what_changed_since_is_seen_by_the_next_question(world):
-    put(world, 1, 2, 3)
-    lookup = JobReader(world.clock, world.store)
-    assert {n: a.task_count for n, a in ask(world, lookup, [1, 2, 3])[0].items()} == {1: 3, 2: 3, 3: 3}
-    assert ask(world, lookup, [9])[0] == {9: None}
-    end(world, 1)
-    put(world, 2, cancelled=True)
-    put(world, 9)
-    answers, _ = ask(world, lookup, [1, 2, 3, 9])
-    assert answers[1].state.value == "done"
-    # A stored cancel is no final state yet: its tasks may be anywhere. Nor is it remembered as one.
-    assert answers[2].is_cancelled and not answers[3].is_cancelled and lookup.find_final("wk-000002") is None
-    assert answers[3].task_count == 3 and answers[9].task_count == 3 and answers[9] is not ABSENT_JOB
-    # Final states need no read any more, not even in an outage.
+    assert json.loads(responses[0].body)["standing"] == "done"
+
+
+def test_lookup_returns_changes_since_the_last_lookup(world):
+    store_open_jobs(world, 1, 2, 3)
+    reader = JobReader(world.clock, world.store)
+    assert {n: found.task_count for n, found in look_up(world, reader, [1, 2, 3])[0].items()} == {1: 3, 2: 3, 3: 3}
+    assert look_up(world, reader, [9])[0] == {9: None}
+    store_end(world, 1)
+    store_open_jobs(world, 2, cancelled=True)
+    store_open_jobs(world, 9)
+    results, _ = look_up(world, reader, [1, 2, 3, 9])
+    assert results[1].state.value == "done"
+    # A stored cancellation is not a final state, because its tasks may still run; it is not cached as one either.
+    assert results[2].is_cancelled and not results[3].is_cancelled and reader.find_final("wk-000002") is None
+    assert results[3].task_count == 3 and results[9].task_count == 3 and results[9] is not ABSENT_JOB
+    # Final states need no more reads, even in a store outage.
     world.state.outage = True
-    answers, requests = ask(world, lookup, [1])
-    assert answers[1].state.value == "done" and requests == []
-    assert isinstance(ask(world, lookup, [2])[0][2], Failure), "a cancel that has not ended is not told from memory"
+    results, requests = look_up(world, reader, [1])
+    assert results[1].state.value == "done" and requests == []
+    assert isinstance(look_up(world, reader, [2])[0][2], Failure), "a cancelled job without an end needs a read"
     world.state.outage = False
-    end(world, 2, "cancelled")
-    assert ask(world, lookup, [2])[0][2].state.value == "cancelled"
+    store_end(world, 2, "cancelled")
+    assert look_up(world, reader, [2])[0][2].state.value == "cancelled"
     world.state.outage = True
-    answers, requests = ask(world, lookup, [1, 2])
-    assert [answers[n].state.value for n in (1, 2)] == ["done", "cancelled"] and requests == []
+    results, requests = look_up(world, reader, [1, 2])
+    assert [results[n].state.value for n in (1, 2)] == ["done", "cancelled"] and requests == []
 
 
-def test_a_question_that_came_during_a_read_is_not_answered_by_it(world):
-    put(world, 1)
-    lookup = JobReader(world.clock, world.store)
-    ask(world, lookup, [1])
-    held = []
+def test_lookup_during_a_read_does_not_share_that_read(world):
+    store_open_jobs(world, 1)
+    reader = JobReader(world.clock, world.store)
+    look_up(world, reader, [1])
+    pending_deliveries = []
 
     async def call(method, address, path, body=None, timeout=2.0):
-        # The store has answered, but its answer is still under way.
-        reply = await type(world.net).call(world.net, method, address, path, body, timeout)
-        waits = Deferred()
-        held.append(waits)
-        await waits
-        return reply
+        # The store has responded, but the response is still in flight.
+        response = await type(world.net).call(world.net, method, address, path, body, timeout)
+        delivery = Deferred()
+        pending_deliveries.append(delivery)
+        await delivery
+        return response
 
     world.store._http = type("Slow", (), {"call": staticmethod(call)})()
-    first, second = [], []
-    lookup.find("wk-000001").addBoth(first.append)
+    first_results, second_results = [], []
+    reader.find("wk-000001").addBoth(first_results.append)
     world.pass_time(0.1)
-    end(world, 1)
-    lookup.find("wk-000001").addBoth(second.append)
-    while held:
-        held.pop(0).callback(None)
+    store_end(world, 1)
+    reader.find("wk-000001").addBoth(second_results.append)
+    while pending_deliveries:
+        pending_deliveries.pop(0).callback(None)
         world.pass_time(0.1)
-    assert first[0].task_count == 3 and second[0].state.value == "done"
+    assert first_results[0].task_count == 3 and second_results[0].state.value == "done"
 
 
-def test_without_an_answer_every_question_is_refused_at_once_with_a_time_to_come_back(world):
+def test_queries_return_503_with_a_retry_time_in_a_store_outage(world):
     api = world.api()
-    put(world, *range(1, 20))
+    store_open_jobs(world, *range(1, 20))
     world.state.outage = True
-    answers = []
+    responses = []
     for number in range(1, 20):
-        work = api.build_handler("query")(b"", f"wk-{number:06d}")
-        Deferred.fromCoroutine(work).addBoth(answers.append)
+        query = api.build_handler("query")(b"", f"wk-{number:06d}")
+        Deferred.fromCoroutine(query).addBoth(responses.append)
     world.pass_time(0.3)
-    assert {(a.status, a.retry_after) for a in answers} == {(503, 1)} and len(answers) == 19
-    assert all(json.loads(a.body) for a in answers)
+    assert {(response.status, response.retry_after) for response in responses} == {(503, 1)} and len(responses) == 19
+    assert all(json.loads(response.body) for response in responses)
--- a/tests/workers/test_eviction.py
+++ b/tests/workers/test_eviction.py
@@ -1,4 +1,4 @@
-"""What must leave a machine before it is taken back, and cancels that stops don't clear."""
+"""Which tasks are stopped before a reclaim or during a drain, and which cancellations are overdue."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 NOW = Instant(100.0)
 
 RECLAIM_EVICTIONS = [
-    # name, changes of the job, phase, when it began to run, seconds left; stops: the grace of each
-    ("saves in the time left", {"stookS": 10.0, "baleS": 4.0}, PlacementPhase.RUNNING, 90.0, 12.0, [12.0]),
+    # name, changes of the job, phase, start of the run, seconds until the reclaim; grace of each expected eviction
+    ("saves a checkpoint in time", {"stookS": 10.0, "baleS": 4.0}, PlacementPhase.RUNNING, 90.0, 12.0, [12.0]),
     ("no time to save", {"stookS": 10.0, "baleS": 4.0}, PlacementPhase.RUNNING, 90.0, 3.0, []),
     ("may end in time", {}, PlacementPhase.RUNNING, 90.0, 14.0, []),
     ("can't end in time", {}, PlacementPhase.RUNNING, 90.0, 13.0, [0.0]),
     ("still fetching", {}, PlacementPhase.FETCHING, None, 1.0, []),
-    ("saves already", {"stookS": 10.0, "baleS": 4.0}, PlacementPhase.CHECKPOINTING, 90.0, 12.0, []),
+    ("checkpoint in progress", {"stookS": 10.0, "baleS": 4.0}, PlacementPhase.CHECKPOINTING, 90.0, 12.0, []),
     (
         "a gang saves together",
         {"breed": "group", "heads": 3, "stookS": 10.0},
@@ -31,67 +31,76 @@
         12.0,
         [12.0] * 3,
     ),
-    ("a gang that can't save stays", {"breed": "group", "heads": 3}, PlacementPhase.RUNNING, 90.0, 1.0, []),
+    ("a gang without checkpoints", {"breed": "group", "heads": 3}, PlacementPhase.RUNNING, 90.0, 1.0, []),
     ("no notice", {"stookS": 10.0}, PlacementPhase.RUNNING, 90.0, None, []),
 ]
 
 
-def make_machine(changes, phase, running_at):
-    book = JobTable()
+def place_job(changes, phase, running_at):
+    """Return a job table, its only job, and the machine of the job's first task; other tasks are on other machines."""
+    job_table = JobTable()
     spec = msgspec.convert(job(**{"heads": 1, **changes}), JobSpec)
-    submitted = book.add(JobRecord(spec, WallTime(0.0)), Revision(1))
+    submitted = job_table.add(JobRecord(spec, WallTime(0.0)), Revision(1))
     machine = Machine(MachineId("i-0"), MachineKind("small", "east", True), None, NOW)
     for index in range(spec.tasks):
-        placement = book.place(submitted, submitted.pop_waiting_task(), MachineId(f"i-{index}"), Instant(0.0))
+        placement = job_table.place(submitted, submitted.pop_waiting_task(), MachineId(f"i-{index}"), Instant(0.0))
         placement.phase, placement.running_at = phase, running_at
         if index == 0:
             machine.placements[placement.task] = placement
-    return book, submitted, machine
+    return job_table, submitted, machine
 
 
 @pytest.mark.parametrize(
-    ("changes", "phase", "running_at", "left", "graces"),
-    [c[1:] for c in RECLAIM_EVICTIONS],
-    ids=[c[0] for c in RECLAIM_EVICTIONS],
+    ("changes", "phase", "running_at", "remaining_s", "graces_s"),
+    [case[1:] for case in RECLAIM_EVICTIONS],
+    ids=[case[0] for case in RECLAIM_EVICTIONS],
 )
-def test_what_leaves_a_machine_with_a_notice(changes, phase, running_at, left, graces):
-    book, _, machine = make_machine(changes, phase, running_at)
-    machine.reclaim_at = None if left is None else Instant(NOW + left)
-    assert [grace for _, grace in plan_reclaim_evictions(machine, book, MeanRuns(), NOW)] == graces
+def test_reclaim_stops_tasks_that_save_or_cannot_end_in_time(changes, phase, running_at, remaining_s, graces_s):
+    job_table, _, machine = place_job(changes, phase, running_at)
+    machine.reclaim_at = None if remaining_s is None else Instant(NOW + remaining_s)
+    assert [grace_s for _, grace_s in plan_reclaim_evictions(machine, job_table, MeanRuns(), NOW)] == graces_s
 
 
-CANCELS = [
+CANCELLATIONS = [
+    # name, instant of the cancellation, number of placements, expected number of overdue cancellations
     ("not cancelled", None, 1, 0),
-    ("cancelled lately", 90.0, 1, 0),
+    ("cancelled recently", 90.0, 1, 0),
     ("cancelled long ago", 80.0, 1, 1),
-    ("cancelled long ago, but nothing is placed", 80.0, 0, 0),
+    ("cancelled long ago, without placements", 80.0, 0, 0),
 ]
 
 
-@pytest.mark.parametrize(("cancelled", "placed", "late"), [c[1:] for c in CANCELS], ids=[c[0] for c in CANCELS])
-def test_late_cancels(cancelled, placed, late):
-    book, submitted, _ = make_machine({}, PlacementPhase.RUNNING, 50.0)
-    submitted.cancelled_at = cancelled
-    if not placed:
+@pytest.mark.parametrize(
+    ("cancelled_at", "placement_count", "overdue_count"),
+    [case[1:] for case in CANCELLATIONS],
+    ids=[case[0] for case in CANCELLATIONS],
+)
+def test_cancellation_with_placements_is_overdue_after_the_limit(cancelled_at, placement_count, overdue_count):
+    job_table, submitted, _ = place_job({}, PlacementPhase.RUNNING, 50.0)
+    submitted.cancelled_at = cancelled_at
+    if not placement_count:
         submitted.placements.clear()
-    assert len(overdue_cancellations(book.jobs.values(), NOW, 20.0)) == late
+    assert len(overdue_cancellations(job_table.jobs.values(), NOW, 20.0)) == overdue_count
 
 
-SAVES = {"stookS": 10.0, "baleS": 4.0, "grazeS": 60.0}
+CHECKPOINTS = {"stookS": 10.0, "baleS": 4.0, "grazeS": 60.0}
 DRAIN_EVICTIONS = [
-    ("settled, much left", SAVES, PlacementPhase.RUNNING, 60.0, [9.0]),
-    ("started just now", SAVES, PlacementPhase.RUNNING, 71.0, []),
-    ("about to end", SAVES, PlacementPhase.RUNNING, 45.0, []),
-    ("longer than expected: not about to end", SAVES, PlacementPhase.RUNNING, 39.0, [9.0]),
-    ("can't save", {"grazeS": 60.0}, PlacementPhase.RUNNING, 60.0, []),
-    ("a gang", {**SAVES, "breed": "group"}, PlacementPhase.RUNNING, 60.0, []),
-    ("saves already", SAVES, PlacementPhase.CHECKPOINTING, 60.0, []),
+    # name, changes of the job, phase, start of the run, grace of each expected eviction
+    ("much run time left", CHECKPOINTS, PlacementPhase.RUNNING, 60.0, [9.0]),
+    ("started recently", CHECKPOINTS, PlacementPhase.RUNNING, 71.0, []),
+    ("about to end", CHECKPOINTS, PlacementPhase.RUNNING, 45.0, []),
+    ("longer than expected: not about to end", CHECKPOINTS, PlacementPhase.RUNNING, 39.0, [9.0]),
+    ("without checkpoints", {"grazeS": 60.0}, PlacementPhase.RUNNING, 60.0, []),
+    ("a gang", {**CHECKPOINTS, "breed": "group"}, PlacementPhase.RUNNING, 60.0, []),
+    ("checkpoint in progress", CHECKPOINTS, PlacementPhase.CHECKPOINTING, 60.0, []),
 ]
 
 
 @pytest.mark.parametrize(
-    ("changes", "phase", "running_at", "graces"), [c[1:] for c in DRAIN_EVICTIONS], ids=[c[0] for c in DRAIN_EVICTIONS]
+    ("changes", "phase", "running_at", "graces_s"),
+    [case[1:] for case in DRAIN_EVICTIONS],
+    ids=[case[0] for case in DRAIN_EVICTIONS],
 )
-def test_what_moves_off_a_draining_machine(changes, phase, running_at, graces):
-    book, _, machine = make_machine(changes, phase, running_at)
-    assert [grace for _, grace in plan_drain_evictions(machine, book, MeanRuns(), NOW)] == graces
+def test_drain_stops_tasks_with_checkpoints_that_are_not_about_to_end(changes, phase, running_at, graces_s):
+    job_table, _, machine = place_job(changes, phase, running_at)
+    assert [grace_s for _, grace_s in plan_drain_evictions(machine, job_table, MeanRuns(), NOW)] == graces_s
