--- a/benchmarks/day.py
+++ b/benchmarks/day.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 LINE = re.compile(r"\s*(\d+(?:\.\d+)?)\s.*?\b([DIEW]) (\S+) (\w+): (.*)")
-# Lines of jobs are read in their present form and in the one before.
+# The patterns of job lines match the present log format and the one before it.
 ACCEPTED = re.compile(
     r"job (?:accepted job=)?(\S+) (?:accepted: |class=)(\S+) (?:of |team=)(\S+?),? (?:priority=)?(\w+),? "
     r"(?:tasks=)?(\d+) (?:tasks of |cpus=)(\S+) (?:CPUs and |memory_gb=)(\S+) (?:GB, about |estimate_s=)(\S+) "
--- a/meadowcross/jobs/job_reader.py
+++ b/meadowcross/jobs/job_reader.py
@@ -225,18 +225,20 @@
 
         `on_some_results` is called before further reads, so that the first results are not outdated when delivered.
         """
-        cached = {job: open_job for job in jobs if (open_job := self._cached_open_job(job)) is not None}
-        jobs_to_read = await self._read_unchanged(jobs, cached, results)
+        cached_jobs = {job: open_job for job in jobs if (open_job := self._cached_open_job(job)) is not None}
+        jobs_to_read = await self._read_unchanged(jobs, cached_jobs, results)
         on_some_results()
-        unknown_jobs = [job for job in jobs_to_read if cached.get(job, ABSENT_JOB) is ABSENT_JOB]
+        unknown_jobs = [job for job in jobs_to_read if cached_jobs.get(job, ABSENT_JOB) is ABSENT_JOB]
         if len(unknown_jobs) >= RANGE_READ_MIN_JOBS:
             await self._read_range(unknown_jobs, results)
         await _await_all(self._read_job(job, results) for job in jobs_to_read if job not in results)
 
-    async def _read_unchanged(self, jobs: list[JobId], cached: dict[JobId, OpenJob], results: _Results) -> list[JobId]:
+    async def _read_unchanged(
+        self, jobs: list[JobId], cached_jobs: dict[JobId, OpenJob], results: _Results
+    ) -> list[JobId]:
         """Add the jobs that are as cached to `results`, by one comparison with the store; return all other jobs."""
         conditions: list[Condition] = []
-        for job, open_job in cached.items():
+        for job, open_job in cached_jobs.items():
             if open_job is ABSENT_JOB:
                 conditions.extend(absence_conditions(job))
             else:
@@ -244,7 +246,7 @@
         changed_keys = await self._store.find_changed_keys(conditions) if conditions else set()
         jobs_to_read: list[JobId] = []
         for job in jobs:
-            cached_job = cached.get(job)
+            cached_job = cached_jobs.get(job)
             if (ended_record := self.find_final(job)) is not None:
                 results[job] = ended_record
             elif cached_job is None or open_key(job) in changed_keys or ended_key(job) in changed_keys:
@@ -315,8 +317,8 @@
 
 async def _await_all(coroutines: Iterable[Coroutine[Any, Any, None]]) -> None:
     """Wait for all coroutines, then raise the first failure, if any."""
-    running = [Deferred.fromCoroutine(coroutine) for coroutine in coroutines]
-    outcomes: list[tuple[bool, Any]] = await DeferredList(running, consumeErrors=True)
+    deferreds = [Deferred.fromCoroutine(coroutine) for coroutine in coroutines]
+    outcomes: list[tuple[bool, Any]] = await DeferredList(deferreds, consumeErrors=True)
     for has_succeeded, outcome in outcomes:
         if not has_succeeded:
             outcome.raiseException()
--- a/meadowcross/jobs/job_table.py
+++ b/meadowcross/jobs/job_table.py
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, eq=False)
 class Placement:
-    """One attempt of a task on a machine; it takes part of its team's quota until it is proven gone."""
+    """One attempt of a task on a machine; it counts towards its team's quota until it is proven gone."""
 
     task: TaskId
     attempt: Attempt
@@ -58,7 +58,7 @@
 
     @property
     def may_have_started(self) -> bool:
-        """Whether this leader or an earlier one may have sent its start command."""
+        """Whether this leader or an earlier one may have sent the placement's start command."""
         return self.phase >= PlacementPhase.SENT
 
 
--- a/meadowcross/jobs/objectives.py
+++ b/meadowcross/jobs/objectives.py
@@ -73,9 +73,9 @@
 
     def start_slack(self, spec: JobSpec, elapsed_s: Seconds) -> Seconds:
         """Return the time until the next limit on the start of the job's tasks; NO_DEADLINE_S if none is left."""
-        for limit in self._start_limits_s.get(spec.job_class, ()):
-            if elapsed_s <= limit:
-                return limit - elapsed_s
+        for limit_s in self._start_limits_s.get(spec.job_class, ()):
+            if elapsed_s <= limit_s:
+                return limit_s - elapsed_s
         return NO_DEADLINE_S
 
     def availability_slack(self, spec: JobSpec, elapsed_s: Seconds, was_lost: bool) -> Seconds:
@@ -106,11 +106,11 @@
     """
     if not deadlines:
         return NO_DEADLINE_S
-    earliest_end = elapsed_s + (1 - ESTIMATE_TOLERANCE) * run_s
-    for deadline in deadlines:
-        if deadline >= earliest_end:
-            return deadline - elapsed_s - run_s
-    deadline = max(deadlines[-1], 1.0)
-    while deadline < earliest_end:
-        deadline *= OVERDUE_GROWTH
-    return deadline - elapsed_s - run_s
+    earliest_end_s = elapsed_s + (1 - ESTIMATE_TOLERANCE) * run_s
+    for deadline_s in deadlines:
+        if deadline_s >= earliest_end_s:
+            return deadline_s - elapsed_s - run_s
+    deadline_s = max(deadlines[-1], 1.0)
+    while deadline_s < earliest_end_s:
+        deadline_s *= OVERDUE_GROWTH
+    return deadline_s - elapsed_s - run_s
--- a/meadowcross/workers/dispatcher.py
+++ b/meadowcross/workers/dispatcher.py
@@ -144,15 +144,15 @@
 
     def _probe_batch(self) -> None:
         self._is_probe_scheduled = False
-        remaining = PROBE_BATCH_SIZE * self._handlers.probing_nodes()
-        while self._probe_requested_at and remaining > 0 and not self._is_stopped:
+        remaining_probes = PROBE_BATCH_SIZE * self._handlers.probing_nodes()
+        while self._probe_requested_at and remaining_probes > 0 and not self._is_stopped:
             machine_id = next(iter(self._probe_requested_at))
             requested_at = self._probe_requested_at.pop(machine_id)
             machine = self._registry.machines.get(machine_id)
             if machine is not None and _needs_probe(machine, requested_at):
                 self._due_probes.add(machine_id)
                 self._schedule(machine_id)
-                remaining -= 1
+                remaining_probes -= 1
         if self._probe_requested_at and not self._is_stopped:
             self._is_probe_scheduled = True
             self._clock.callLater(PROBE_BATCH_INTERVAL_S, self._probe_batch)
--- a/meadowcross/workers/heartbeat_tracker.py
+++ b/meadowcross/workers/heartbeat_tracker.py
@@ -72,10 +72,10 @@
 
     def count(self) -> int:
         """Return the number of workers with a heartbeat within the window."""
-        window_start = self._clock.seconds() - self._window_s
+        window_start_at = self._clock.seconds() - self._window_s
         while self._recorded_at:
             machine, recorded_at = next(iter(self._recorded_at.items()))
-            if recorded_at >= window_start:
+            if recorded_at >= window_start_at:
                 break
             del self._recorded_at[machine]
             self._relayed_machines.discard(machine)
--- a/meadowcross/workers/registry.py
+++ b/meadowcross/workers/registry.py
@@ -27,7 +27,7 @@
 _EXITED, _RUNNING, _WAITING = TaskState.EXITED, TaskState.RUNNING, TaskState.WAITING
 _PHASE_SENT, _PHASE_RUNNING, _PHASE_WAITING = PlacementPhase.SENT, PlacementPhase.RUNNING, PlacementPhase.WAITING
 
-LOST = "lost"
+EXIT_LOST = "lost"
 """Exit reason of a placement whose task its machine does not report any more."""
 
 
@@ -229,7 +229,7 @@
 def _lost_outcomes(machine: Machine, matched_tasks: set[TaskId]) -> list[TaskOutcome]:
     """Return outcomes for the placements that the status lacks while no start for them is open."""
     return [
-        TaskOutcome(TaskChange.GONE, placement, LOST)
+        TaskOutcome(TaskChange.GONE, placement, EXIT_LOST)
         for placement in machine.placements.values()
         if placement.phase >= _PHASE_SENT
         and placement.task not in matched_tasks
--- a/tests/benchmarks/test_benchmarks.py
+++ b/tests/benchmarks/test_benchmarks.py
@@ -34,7 +34,7 @@
     "I n0 jobs: job accepted job=wk-{0} class=train team=a priority={1} tasks={2} cpus=1 memory_gb=2 "
     "estimate_s=30 deadline_s={3}"
 )
-ACCEPTED_BEFORE = (
+OLD_ACCEPTED = (
     "I n0 jobs: job wk-{0} accepted: train of a, {1}, {2} tasks of 1 CPUs and 2 GB, about 30 s, due after {3} s"
 )
 LOG = [
@@ -71,19 +71,19 @@
     assert [run.why for run in job.runs if run.why != "done"] == ["stopped"]
 
 
-def test_lines_of_jobs_in_the_form_before_are_read_alike():
-    day, day_before = (
+def test_job_lines_of_the_older_log_format_are_read_alike():
+    day, old_day = (
         read(["0.5 n0 " + accepted.format("000001", "normal", 8, 60), "103.2 n0 I n0 jobs: " + ended])
         for accepted, ended in (
             (ACCEPTED, "job ended job=wk-000001 state=done elapsed_s=103 (deadline_s=60)"),
-            (ACCEPTED_BEFORE, "job wk-000001 ended: done, 103 s after its submission, due after 60 s"),
+            (OLD_ACCEPTED, "job wk-000001 ended: done, 103 s after its submission, due after 60 s"),
         )
     )
     job = day.jobs["wk-000001"]
     assert (job.job_class, job.team, job.priority, job.tasks) == ("train", "a", "normal", 8)
     assert (job.cpus, job.memory_gb, job.estimate_s, job.due_s) == (1.0, 2.0, 30.0, 60.0)
     assert (job.ended, job.standing) == (103.2, "done")
-    assert day_before.jobs == day.jobs
+    assert old_day.jobs == day.jobs
 
 
 def test_every_paid_second_is_told_once():
@@ -246,8 +246,8 @@
         "15.1 n0 I n0 jobs: cancellation stored for unrecorded job job=wk-000004\n"
         "no line of a log\n"
     )
-    before = tmp_path / "before.log"
-    before.write_text(
+    old_log = tmp_path / "old.log"
+    old_log.write_text(
         "10.0 n0 I n0 jobs: job wk-000001 cancelled\n"
         "10.1 n0 I n0 jobs: job wk-000001: its user is told of the cancel\n"
         "11.0 n1 I n1 jobs: job wk-000002 cancelled\n"
@@ -258,7 +258,7 @@
         "15.1 n0 I n0 jobs: job wk-000004, known by its tasks only, cancelled\n"
         "no line of a log\n"
     )
-    for file in (log, before):
+    for file in (log, old_log):
         assert cancels.main([str(file), "--json"]) == 0
         assert json.loads(capsys.readouterr().out) == {
             "stored": 3,
