--- a/meadowcross/autoscaling/autoscaler.py
+++ b/meadowcross/autoscaling/autoscaler.py
@@ -69,7 +69,7 @@
             is_cost_sensitive=may_wait_for_cheaper_capacity(settings.facts.objectives),
             started_at=Instant(clock.seconds()),
         )
-        completions = TaskCompletionForecast(host.job_table, host.runs)
+        completions = TaskCompletionForecast(host.job_table, host.run_time_estimator)
         self.kind_availability = availability = KindAvailability(clock)
         self._demand = demand = DemandTracker(context)
         self._decommissioner = Decommissioner(context, cloud, availability, completions)
--- a/meadowcross/autoscaling/context.py
+++ b/meadowcross/autoscaling/context.py
@@ -14,7 +14,7 @@
 from meadowcross.common.clock import Clock
 from meadowcross.common.settings import Facts, OperatorSettings
 from meadowcross.common.types import FencingToken, Instant, MachineId, MachineKind, Seconds
-from meadowcross.estimates.runs import Runs
+from meadowcross.estimates.estimators import RunTimeEstimator
 from meadowcross.jobs.job_table import JobTable, Placement
 from meadowcross.placement.model import PendingJob, QuotaHeadroom
 from meadowcross.workers.dispatcher import CommandDispatcher
@@ -55,7 +55,7 @@
     job_table: JobTable
     worker_registry: WorkerRegistry
     dispatcher: CommandDispatcher
-    runs: Runs
+    run_time_estimator: RunTimeEstimator
 
     @property
     def scheduling_view(self) -> WorkloadView:
--- a/meadowcross/autoscaling/incoming_capacity.py
+++ b/meadowcross/autoscaling/incoming_capacity.py
@@ -12,8 +12,8 @@
 from meadowcross.autoscaling.messages import MachineType
 from meadowcross.autoscaling.sizing import IncomingCapacity, ScaleOutRequest
 from meadowcross.common.types import Instant, MachineId, Seconds
-from meadowcross.estimates.runs import CAUTIOUS, Runs
-from meadowcross.estimates.samples import ran
+from meadowcross.estimates.estimators import CAUTIOUS_QUANTILE, RunTimeEstimator
+from meadowcross.estimates.samples import elapsed_run_s
 from meadowcross.jobs.job_table import JobTable, PlacementPhase
 from meadowcross.jobs.messages import JobSpec
 from meadowcross.workers.machine import Machine
@@ -55,9 +55,9 @@
     17.7 s under a profiler, 640 machines).
     """
 
-    def __init__(self, job_table: JobTable, runs: Runs) -> None:
+    def __init__(self, job_table: JobTable, run_time_estimator: RunTimeEstimator) -> None:
         self._job_table = job_table
-        self._runs = runs
+        self._run_time_estimator = run_time_estimator
         self._cache: dict[MachineId, _Forecast] = {}
 
     def completions_before(self, machine: Machine, deadline: Instant, now: Instant) -> Iterator[JobSpec]:
@@ -79,7 +79,9 @@
         for placement in machine.placements.values():
             job = self._job_table.jobs.get(placement.task.job)
             if job is not None and placement.phase is PlacementPhase.RUNNING and placement.running_at is not None:
-                remaining_s = self._runs.left(job.spec, ran(job, placement, now), CAUTIOUS)
+                remaining_s = self._run_time_estimator.remaining_time(
+                    job.spec, elapsed_run_s(job, placement, now), CAUTIOUS_QUANTILE
+                )
                 yield _Completion(Instant(now + remaining_s), job.spec)
 
     def forget(self, machine: MachineId) -> None:
--- a/meadowcross/autoscaling/scale_in.py
+++ b/meadowcross/autoscaling/scale_in.py
@@ -76,7 +76,9 @@
     def _evict_checkpointable(self, machine: Machine) -> None:
         host = self._context.host
         is_expensive = machine.kind in self._demand.expensive_kinds
-        for placement, grace_s in plan_drain_evictions(machine, host.job_table, host.runs, self._context.now):
+        for placement, grace_s in plan_drain_evictions(
+            machine, host.job_table, host.run_time_estimator, self._context.now
+        ):
             spec = host.job_table.jobs[placement.task.job].spec
             # A task that only expensive kinds may run is not evicted, as it would be placed on such a kind again.
             if not is_expensive or not self._demand.requires_expensive_kind(spec):
--- a/meadowcross/cli.py
+++ b/meadowcross/cli.py
@@ -35,7 +35,7 @@
     commands = parser.add_subparsers(metavar="COMMAND", required=True)
     run = commands.add_parser("run", help="run a controller node; the options of run.py", add_help=False)
     run.set_defaults(act=_run)
-    estimates.add(commands.add_parser("estimates", help="learned run times: replay, show, reset"))
+    estimates.add_arguments(commands.add_parser("estimates", help="learned run times: replay, show, reset"))
     snapshots.add_subcommands(
         commands.add_parser("snapshot", help="snapshots of the state service: list, verify, restore")
     )
--- a/meadowcross/controller/controller.py
+++ b/meadowcross/controller/controller.py
@@ -91,7 +91,7 @@
         import meadowcross.leadership.term  # noqa: PLC0415
 
         if self.services.operator.learned_estimates >= 1:
-            import meadowcross.estimates.keeper  # noqa: PLC0415
+            import meadowcross.estimates.estimate_storage  # noqa: PLC0415
             import meadowcross.leadership.completion_forecaster  # noqa: F401, PLC0415
 
     def _start_snapshot_writer(self, follower: ReplicaFollower) -> None:
--- a/meadowcross/estimates/cli.py
+++ b/meadowcross/estimates/cli.py
@@ -13,7 +13,7 @@
 DEFAULT_SEED = 1
 
 
-def add(options: argparse.ArgumentParser) -> None:
+def add_arguments(options: argparse.ArgumentParser) -> None:
     """Add the actions and their options to the command's parser."""
     commands = options.add_subparsers(metavar="ACTION", required=True)
     replay = commands.add_parser("replay", help="play a history; compare predicted with actual run times")
@@ -129,7 +129,7 @@
 
 async def _list_items(store: StoreClient) -> list[Item]:
     from meadowcross.estimates import messages as m
-    from meadowcross.estimates.keeper import PAGE_ENTRIES
+    from meadowcross.estimates.estimate_storage import PAGE_ENTRIES
     from meadowcross.store.token_bucket import RequestPriority
 
     items, _ = await store.list_items(m.PREFIX, RequestPriority.BACKGROUND, PAGE_ENTRIES)
--- a/meadowcross/estimates/finish.py
+++ b/meadowcross/estimates/completion_time.py
@@ -12,15 +12,15 @@
 """The remaining time of thousands of running tasks is extrapolated from about this many."""
 
 
-class Ends(NamedTuple):
+class CompletionForecast(NamedTuple):
     """Seconds from now until a job is done, as the 10, 50 and 90% quantiles."""
 
-    low: Seconds
-    middle: Seconds
-    high: Seconds
+    low_s: Seconds
+    median_s: Seconds
+    high_s: Seconds
 
 
-class Left(NamedTuple):
+class RemainingWork(NamedTuple):
     """The remaining work of a job."""
 
     waiting_tasks: int
@@ -37,36 +37,36 @@
     """Duration of the image fetch before a task runs."""
 
 
-def middle_of(left: Left, curve: Curve, alike: float) -> Seconds:
+def median_completion_s(work: RemainingWork, curve: Curve, job_spread: float) -> Seconds:
     """Return the median time until the last task is done.
 
-    The last of n tasks takes longer than the median task, by more if the tasks of a job differ more. `alike` is how
-    far they differ: 0, all take the same time; 1, they differ as much as all runs of the class.
+    The last of n tasks takes longer than the median task, by more if the tasks of a job differ more. `job_spread` is
+    how far they differ: 0, all take the same time; 1, they differ as much as all runs of the class.
     """
-    count = left.waiting_tasks + left.starting_tasks + len(left.running_for_s)
+    count = work.waiting_tasks + work.starting_tasks + len(work.running_for_s)
     if count == 0:
         return 0.0
-    concurrency = max(1, min(left.slots, count))
+    concurrency = max(1, min(work.slots, count))
 
     def quantile_of_last(tasks: int) -> float:
-        return float(0.5 ** (1.0 / max(1, tasks) ** alike))
+        return float(0.5 ** (1.0 / max(1, tasks) ** job_spread))
 
     median_s = curve.quantile(0.5)
-    if left.waiting_tasks == 0:
+    if work.waiting_tasks == 0:
         ends_s = (
-            [curve.remaining(min(left.running_for_s), quantile_of_last(len(left.running_for_s)))]
-            if left.running_for_s
+            [curve.remaining(min(work.running_for_s), quantile_of_last(len(work.running_for_s)))]
+            if work.running_for_s
             else []
         )
-        if left.starting_tasks:
-            ends_s.append(left.fetch_s + curve.quantile(quantile_of_last(left.starting_tasks)))
+        if work.starting_tasks:
+            ends_s.append(work.fetch_s + curve.quantile(quantile_of_last(work.starting_tasks)))
         return max(ends_s)
-    stride = max(1, len(left.running_for_s) // MAX_SAMPLED_TASKS)
-    sampled = left.running_for_s[::stride]
+    stride = max(1, len(work.running_for_s) // MAX_SAMPLED_TASKS)
+    sampled = work.running_for_s[::stride]
     running_work_s = sum(curve.remaining(elapsed_s, 0.5) for elapsed_s in sampled) * (
-        len(left.running_for_s) / max(1, len(sampled))
+        len(work.running_for_s) / max(1, len(sampled))
     )
-    work_s = running_work_s + left.starting_tasks * (left.fetch_s + median_s) + (left.waiting_tasks - 1) * median_s
+    work_s = running_work_s + work.starting_tasks * (work.fetch_s + median_s) + (work.waiting_tasks - 1) * median_s
     # The last task starts on the first slot that becomes free, half a run before the mean time at which slots do.
-    last_start_s = max(left.start_wait_s, work_s / concurrency - median_s * (concurrency - 1) / (2 * concurrency))
-    return last_start_s + left.fetch_s + curve.quantile(quantile_of_last(min(concurrency, left.waiting_tasks)))
+    last_start_s = max(work.start_wait_s, work_s / concurrency - median_s * (concurrency - 1) / (2 * concurrency))
+    return last_start_s + work.fetch_s + curve.quantile(quantile_of_last(min(concurrency, work.waiting_tasks)))
--- a/meadowcross/estimates/keeper.py
+++ b/meadowcross/estimates/estimate_storage.py
@@ -19,7 +19,7 @@
 from meadowcross.common.logging import get_logger
 from meadowcross.common.types import Revision, Seconds
 from meadowcross.estimates import messages as m
-from meadowcross.estimates.learned import Learned
+from meadowcross.estimates.run_time_model import RunTimeModel
 from meadowcross.store import messages as sm
 from meadowcross.store.client import IndeterminateResultError, RequestRejectedError, StoreClient, StoreUnavailableError
 from meadowcross.store.group_commit import GroupCommitter, Write
@@ -37,10 +37,10 @@
 PAGE_ENTRIES = 32
 """Entries in one list request: a page then stays far below the store's limit of 512 KiB."""
 CHECK_INTERVAL_S: Seconds = 30.0
-"""How often the keeper checks whether an operator has deleted stored entries."""
+"""How often the storage checks whether an operator has deleted stored entries."""
 
 
-class EstimateKeeper:
+class EstimateStorage:
     """Loads a leader's learned run times at the start of a term, and stores them while it lasts."""
 
     def __init__(
@@ -48,7 +48,7 @@
         clock: Clock,
         store: StoreClient,
         leader_condition: sm.Condition,
-        learned: Learned,
+        learned: RunTimeModel,
         reread_leader: Callable[[list[str]], Awaitable[None]],
     ) -> None:
         self._clock = clock
--- a/meadowcross/estimates/history.py
+++ b/meadowcross/estimates/history.py
@@ -11,7 +11,7 @@
 from msgspec import Meta, Struct, field
 
 from meadowcross.common.types import Seconds
-from meadowcross.estimates.learned import RunFeatures, shape_name
+from meadowcross.estimates.run_time_model import RunFeatures, shape_name
 
 MAX_LINE_BYTES = 64 * 1024
 
--- a/meadowcross/estimates/replay.py
+++ b/meadowcross/estimates/replay.py
@@ -11,9 +11,9 @@
 
 from meadowcross.common.types import Seconds
 from meadowcross.estimates.curve import INTERVAL_COVERAGES, normal_score
+from meadowcross.estimates.estimators import MAX_RATIO, MEAN_SMOOTHING
 from meadowcross.estimates.history import Run
-from meadowcross.estimates.learned import CLASS_CACHE_S, Learned
-from meadowcross.estimates.runs import MAX_RATIO, MEAN_SMOOTHING
+from meadowcross.estimates.run_time_model import CLASS_CACHE_S, RunTimeModel
 
 DEFAULT_WARM_UP_RUNS = 50
 """Runs of a class before its predictions are judged."""
@@ -56,7 +56,7 @@
 
     def __init__(self) -> None:
         self._clock = Clock()
-        self.learned = Learned(self._clock)
+        self.learned = RunTimeModel(self._clock)
 
     def predict(self, run: Run) -> Prediction:
         """Return the quantiles of the learned curve."""
--- a/meadowcross/estimates/learned.py
+++ b/meadowcross/estimates/run_time_model.py
@@ -34,7 +34,7 @@
     shift,
     widen,
 )
-from meadowcross.estimates.runs import TYPICAL
+from meadowcross.estimates.estimators import MEDIAN_QUANTILE
 from meadowcross.jobs import messages as jm
 from meadowcross.jobs.messages import JobSpec
 
@@ -199,7 +199,7 @@
     def __init__(self, computed_at: float, curve: Curve) -> None:
         self.computed_at = computed_at
         self.curve = curve
-        self.median_s = curve.quantile(TYPICAL)
+        self.median_s = curve.quantile(MEDIAN_QUANTILE)
         self._remaining_s: dict[tuple[int, float], Seconds] = {}
 
     def remaining(self, elapsed_s: Seconds, q: float) -> Seconds:
@@ -221,7 +221,7 @@
     guess_share: float
 
 
-class Learned:
+class RunTimeModel:
     """Learns from samples and predicts run times. The numbers of classes, subgroups, jobs and machines are bounded."""
 
     def __init__(self, clock: Clock) -> None:
@@ -249,12 +249,14 @@
 
     # Predicting
 
-    def run(self, spec: JobSpec, q: float = TYPICAL) -> Seconds:
+    def run_time(self, spec: JobSpec, q: float = MEDIAN_QUANTILE) -> Seconds:
         """Return the quantile `q` of the run time of the job's tasks."""
         cached = self._cached_curve(spec, "")
-        return cached.median_s if q == TYPICAL else cached.curve.quantile(q)
+        return cached.median_s if q == MEDIAN_QUANTILE else cached.curve.quantile(q)
 
-    def left(self, spec: JobSpec, elapsed_s: Seconds, q: float = TYPICAL, machine_type: str = "") -> Seconds:
+    def remaining_time(
+        self, spec: JobSpec, elapsed_s: Seconds, q: float = MEDIAN_QUANTILE, machine_type: str = ""
+    ) -> Seconds:
         """Return the quantile `q` of the remaining time of a run that has lasted `elapsed_s`.
 
         It is infinite for a service, which runs until it is cancelled."""
@@ -379,13 +381,13 @@
         own = shift(subgroup.log_quantiles(), level.log_mean)
         return _shrink(level, own, level.log_mean, subgroup.weight, subgroup.weight, level.guess_share)
 
-    def alike(self, spec: JobSpec) -> float:
+    def job_spread(self, spec: JobSpec) -> float:
         """Return how far the tasks of one job of the class differ, as a share of how far the class's runs differ."""
         with self._lock:
             entry = self._find_entry(m.class_entry_name(spec.job_class))
             return 0.5 if entry is None else entry.job_spread
 
-    def foresee(self, stage: str, median_s: Seconds) -> tuple[Seconds, Seconds, Seconds]:
+    def correct_completion_forecast(self, stage: str, median_s: Seconds) -> tuple[Seconds, Seconds, Seconds]:
         """Return the 10, 50 and 90% quantiles of a completion time, by how far earlier forecasts were off.
 
         `median_s` is the median that was computed without these errors; `stage` is the job's stage at the time."""
@@ -399,7 +401,7 @@
             curve = Curve(shift(level.log_quantiles, log(max(MIN_RUN_S, median_s))))
             return curve.quantile(0.1), curve.quantile(0.5), curve.quantile(0.9)
 
-    def came(self, stage: str, median_s: Seconds, actual_s: Seconds) -> None:
+    def record_completion(self, stage: str, median_s: Seconds, actual_s: Seconds) -> None:
         """Learn from a job that was done `actual_s` after a forecast with the median `median_s`."""
         if not (isfinite(actual_s) and actual_s > 0 and median_s > 0):
             return
@@ -412,11 +414,11 @@
 
     # Learning
 
-    def done(self, spec: JobSpec, run_s: Seconds, machine_id: MachineId, machine_type: str) -> None:
+    def on_completed(self, spec: JobSpec, run_s: Seconds, machine_id: MachineId, machine_type: str) -> None:
         """Learn from a task that completed after running for `run_s`."""
         self.learn_completed(features_of(spec, machine_type), run_s, machine_id)
 
-    def cut(self, spec: JobSpec, elapsed_s: Seconds) -> None:
+    def on_interrupted(self, spec: JobSpec, elapsed_s: Seconds) -> None:
         """Learn from a run that was interrupted after `elapsed_s`."""
         self.learn_interrupted(features_of(spec), elapsed_s)
 
@@ -543,7 +545,7 @@
             self._fleet_log_error += (1 - FLEET_DECAY) * (log_error - self._fleet_log_error)
         return is_slow
 
-    def watch(self, running: Iterable[tuple[JobSpec, list[Seconds]]]) -> None:
+    def update_running(self, running: Iterable[tuple[JobSpec, list[Seconds]]]) -> None:
         """Take overdue runs into account before they end.
 
         `running` lists the elapsed times of all running tasks, by job. Each call replaces the state of the previous
@@ -570,7 +572,7 @@
             for name, entry in self._entries.items():
                 entry.overdue = sorted(class_overdue.get(name, []))
 
-    def forget(self, job_id: JobId) -> None:
+    def drop_job(self, job_id: JobId) -> None:
         """Drop the samples of a job that has ended."""
         with self._lock:
             self._jobs.pop(job_id, None)
--- a/meadowcross/estimates/samples.py
+++ b/meadowcross/estimates/samples.py
@@ -6,12 +6,12 @@
 from typing import NamedTuple
 
 from meadowcross.common.types import Instant, MachineId, Seconds
-from meadowcross.estimates.runs import Runs
+from meadowcross.estimates.estimators import RunTimeEstimator
 from meadowcross.jobs.job_table import Job, JobTable, Placement, PlacementPhase
 from meadowcross.jobs.messages import JobSpec
 
 
-def ran(job: Job, placement: Placement, now: Instant) -> Seconds:
+def elapsed_run_s(job: Job, placement: Placement, now: Instant) -> Seconds:
     """Return how long the task has run by now, including the checkpointed progress of earlier attempts.
 
     Returns 0 for a task that does not run yet."""
@@ -35,7 +35,7 @@
     )
 
 
-class Where(NamedTuple):
+class SampleMachine(NamedTuple):
     """The machine that a task ran on."""
 
     machine_id: MachineId
@@ -46,29 +46,29 @@
     """When the machine last sent a heartbeat again after a silence; None if it was never silent."""
 
 
-class Samples:
+class SampleCollector:
     """Passes samples of run times to all estimators that learn."""
 
-    def __init__(self, learners: Sequence[Runs]) -> None:
+    def __init__(self, learners: Sequence[RunTimeEstimator]) -> None:
         self._learners = learners
 
-    def done(self, job: Job, placement: Placement, where: Where, now: Instant) -> None:
+    def on_task_completed(self, job: Job, placement: Placement, machine: SampleMachine, now: Instant) -> None:
         """Record that the task completed."""
         if placement.running_at is None:
             # The task's result was kept from an earlier attempt: it did not run this time.
             return
-        run_s = ran(job, placement, now)
-        if where.silence_ended_at is not None and where.silence_ended_at > placement.running_at:
+        run_s = elapsed_run_s(job, placement, now)
+        if machine.silence_ended_at is not None and machine.silence_ended_at > placement.running_at:
             # The machine hung or was cut off during the run, so the task's end is not known. A network partition of
             # minutes once made all runs behind it look minutes longer.
             return
         for learner in self._learners:
-            if where.is_healthy and is_run_fully_observed(job, placement):
-                learner.done(job.spec, run_s, where.machine_id, where.machine_type)
-            elif where.is_healthy:
-                learner.cut(job.spec, run_s)
+            if machine.is_healthy and is_run_fully_observed(job, placement):
+                learner.on_completed(job.spec, run_s, machine.machine_id, machine.machine_type)
+            elif machine.is_healthy:
+                learner.on_interrupted(job.spec, run_s)
 
-    def gone(
+    def on_task_interrupted(
         self, job: Job, placement: Placement, has_saved_progress: bool, last_contact_at: Instant | None, now: Instant
     ) -> None:
         """Record that the task ended without completing, and keep its checkpointed progress.
@@ -77,9 +77,9 @@
         if placement.running_at is None:
             return
         ended_at = now if last_contact_at is None else Instant(min(now, max(last_contact_at, placement.running_at)))
-        run_s = ran(job, placement, ended_at)
+        run_s = elapsed_run_s(job, placement, ended_at)
         for learner in self._learners:
-            learner.cut(job.spec, run_s)
+            learner.on_interrupted(job.spec, run_s)
         spec = job.spec
         if spec.checkpoint_interval_s > 0 and is_run_fully_observed(job, placement):
             progress_s = (
@@ -87,19 +87,19 @@
             )
             job.checkpointed_progress[placement.task.number] = progress_s
 
-    def watch(self, job_table: JobTable, now: Instant) -> None:
+    def update_running(self, job_table: JobTable, now: Instant) -> None:
         """Report how long all running tasks have lasted, so that overdue runs count before they end."""
         if self._learners:
             running = list(_list_running(job_table, now))
             for learner in self._learners:
-                learner.watch(running)
+                learner.update_running(running)
 
 
 def _list_running(job_table: JobTable, now: Instant) -> Iterable[tuple[JobSpec, list[Seconds]]]:
     for job in job_table.jobs.values():
         if job.cancelled_at is None and not job.is_ending:
             elapsed_s = [
-                ran(job, p, now)
+                elapsed_run_s(job, p, now)
                 for p in job.placements.values()
                 if p.phase is PlacementPhase.RUNNING and p.stop_requested_at is None
             ]
--- a/meadowcross/leadership/autoscaler_host.py
+++ b/meadowcross/leadership/autoscaler_host.py
@@ -5,7 +5,7 @@
 from meadowcross.autoscaling.messages import machine_key
 from meadowcross.common.logging import get_logger
 from meadowcross.common.types import Instant, MachineId, MachineKind, Seconds
-from meadowcross.estimates.samples import Samples
+from meadowcross.estimates.samples import SampleCollector
 from meadowcross.jobs.job_table import Placement
 from meadowcross.leadership.machine_records import MachineRecords
 from meadowcross.leadership.machine_verification import MachineVerification
@@ -30,7 +30,7 @@
         placement_writer: PlacementWriter,
         verification: MachineVerification,
         health: FailureTracker,
-        samples: Samples,
+        samples: SampleCollector,
         relay_pool: RelayPool | None,
         pass_trigger: PassTrigger,
     ) -> None:
@@ -67,7 +67,7 @@
             placement.attempt,
             machine_id,
         )
-        self._samples.gone(job, placement, False, last_contact_at, self._context.now)
+        self._samples.on_task_interrupted(job, placement, False, last_contact_at, self._context.now)
         self._job_table.release(placement)
         job.last_loss_at = self._context.now
         self._placement_writer.after_release(job)
@@ -90,7 +90,7 @@
         self.job_table = state.job_table
         self.worker_registry = state.worker_registry
         self.dispatcher = placement_writer.dispatcher
-        self.runs = estimators.runs
+        self.run_time_estimator = estimators.decision_estimator
         self._leadership = state.context.leadership
         self._scheduling_view = scheduling_view
         self._machine_records = machine_records
--- a/meadowcross/leadership/completion_forecaster.py
+++ b/meadowcross/leadership/completion_forecaster.py
@@ -1,7 +1,7 @@
 """Forecasts when open jobs will be done, for users' queries.
 
-`estimates.finish` computes the median. The interval around it follows from the errors of recent medians in the same
-stage: whether the job still waits for room, and its priority.
+`estimates.completion_time` computes the median. The interval around it follows from the errors of recent medians in the
+same stage: whether the job still waits for room, and its priority.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from meadowcross.common.clock import Clock
 from meadowcross.common.logging import get_logger
 from meadowcross.common.types import Instant, JobId, MachineKind, Seconds
-from meadowcross.estimates.finish import Ends, Left, middle_of
-from meadowcross.estimates.learned import Learned
-from meadowcross.estimates.samples import ran
+from meadowcross.estimates.completion_time import CompletionForecast, RemainingWork, median_completion_s
+from meadowcross.estimates.run_time_model import RunTimeModel
+from meadowcross.estimates.samples import elapsed_run_s
 from meadowcross.jobs.job_table import Job, JobTable, PlacementPhase
 from meadowcross.jobs.messages import JobKind
 from meadowcross.leadership.scheduling_view import SchedulingView
@@ -47,7 +47,7 @@
     """The last forecast of a job."""
 
     forecast_at: Instant
-    ends: Ends
+    ends: CompletionForecast
     """In seconds from `forecast_at`."""
     stage: str
 
@@ -56,7 +56,7 @@
     """A forecast that is compared with the job's actual end."""
 
     forecast_at: Instant
-    ends: Ends
+    ends: CompletionForecast
     raw_median_s: Seconds
 
 
@@ -143,7 +143,7 @@
         scheduling_view: SchedulingView,
         machine_types: Callable[[], list[MachineType]],
         autoscaler: Autoscaler,
-        learned: Learned,
+        learned: RunTimeModel,
     ) -> None:
         self._clock = clock
         self._job_table = job_table
@@ -164,7 +164,7 @@
     def _now(self) -> Instant:
         return Instant(self._clock.seconds())
 
-    def forecast(self, job_id: JobId) -> Ends | None:
+    def forecast(self, job_id: JobId) -> CompletionForecast | None:
         """Returns when the job will be done, in seconds from now.
 
         None for a job that has ended, is cancelled or is a service, and beyond `MAX_FORECASTS_PER_PERIOD` for a job
@@ -190,9 +190,9 @@
         return self._capacity is None or now - self._capacity.taken_at >= CAPACITY_PERIOD_S
 
     @staticmethod
-    def _shift_to_now(cached: _CachedForecast, now: Instant) -> Ends:
+    def _shift_to_now(cached: _CachedForecast, now: Instant) -> CompletionForecast:
         passed_s = now - cached.forecast_at
-        return Ends(*(max(0.0, seconds - passed_s) for seconds in cached.ends))
+        return CompletionForecast(*(max(0.0, seconds - passed_s) for seconds in cached.ends))
 
     def _current_capacity(self, now: Instant) -> _CapacitySnapshot:
         capacity = self._capacity
@@ -207,11 +207,11 @@
             )
         return capacity
 
-    def _compute_ends(self, job: Job, stage: str, now: Instant) -> Ends:
+    def _compute_ends(self, job: Job, stage: str, now: Instant) -> CompletionForecast:
         capacity = self._current_capacity(now)
         spec = job.spec
         ran_s = [
-            ran(job, p, now)
+            elapsed_run_s(job, p, now)
             for p in job.placements.values()
             if p.phase in (PlacementPhase.RUNNING, PlacementPhase.CHECKPOINTING)
         ]
@@ -219,7 +219,7 @@
         headroom = capacity.headroom.get(spec.team)
         allowed_tasks = headroom.max_tasks(spec) if headroom is not None else job.waiting_count
         fetches_s = [spec.image_gb / max(t.fetch_gb_per_s, MIN_FETCH_GB_PER_S) for t in capacity.machine_types.values()]
-        remaining = Left(
+        remaining = RemainingWork(
             job.waiting_count,
             len(job.placements) - len(ran_s),
             ran_s,
@@ -227,9 +227,11 @@
             start_wait_s if job.waiting_count else 0.0,
             min(fetches_s, default=0.0),
         )
-        median_s = max(MIN_FORECAST_S, middle_of(remaining, self._learned.curve_of(spec), self._learned.alike(spec)))
+        median_s = max(
+            MIN_FORECAST_S, median_completion_s(remaining, self._learned.curve_of(spec), self._learned.job_spread(spec))
+        )
         self._raw_medians_s[job.id] = median_s
-        return Ends(*self._learned.foresee(stage, median_s))
+        return CompletionForecast(*self._learned.correct_completion_forecast(stage, median_s))
 
     @staticmethod
     def _stage_of(job: Job) -> str:
@@ -264,8 +266,8 @@
                 job.id,
                 stage,
                 actual_s,
-                ends.low,
-                ends.high,
-                ends.middle,
+                ends.low_s,
+                ends.high_s,
+                ends.median_s,
             )
-            self._learned.came(stage, raw_median_s, actual_s)
+            self._learned.record_completion(stage, raw_median_s, actual_s)
--- a/meadowcross/leadership/maintenance_loop.py
+++ b/meadowcross/leadership/maintenance_loop.py
@@ -12,7 +12,7 @@
 from meadowcross.autoscaling.autoscaler import Autoscaler
 from meadowcross.common.logging import get_logger
 from meadowcross.common.types import Seconds
-from meadowcross.estimates.samples import Samples
+from meadowcross.estimates.samples import SampleCollector
 from meadowcross.leadership.cancellation_tracker import CancellationTracker
 from meadowcross.leadership.machine_records import MachineDecommissioner
 from meadowcross.leadership.pass_trigger import PassTrigger
@@ -52,7 +52,7 @@
         self._worker_registry = state.worker_registry
         self._placement_writer = placement_writer
         self._autoscaler = autoscaler
-        self._runs = estimators.runs
+        self._run_time_estimator = estimators.decision_estimator
 
     def evict_reclaimed(self) -> None:
         """Stop tasks that must leave their machine now, and decommission machines without tasks."""
@@ -65,7 +65,7 @@
                 continue
             if not machine.placements:
                 self._autoscaler.decommission(machine, "eviction notice, and no task left")
-            evictions = plan_reclaim_evictions(machine, self._job_table, self._runs, self._context.now)
+            evictions = plan_reclaim_evictions(machine, self._job_table, self._run_time_estimator, self._context.now)
             for placement, grace_s in evictions:
                 self._placement_writer.stop_task(placement, grace_s)
 
@@ -100,7 +100,7 @@
 class RunSampler:
     """Samples running tasks for the estimators, and records forecasts for a later comparison with the actual ends."""
 
-    def __init__(self, state: TermState, samples: Samples, forecaster: CompletionForecaster | None) -> None:
+    def __init__(self, state: TermState, samples: SampleCollector, forecaster: CompletionForecaster | None) -> None:
         self._context = state.context
         self._job_table = state.job_table
         self._samples = samples
@@ -114,7 +114,7 @@
             return
         self._sampled_at = now
         if self._forecaster is not None:
-            self._samples.watch(self._job_table, now)
+            self._samples.update_running(self._job_table, now)
             self._forecaster.record_forecasts()
 
 
--- a/meadowcross/leadership/run_time_estimators.py
+++ b/meadowcross/leadership/run_time_estimators.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from meadowcross.estimates.runs import MeanRuns, Runs
-from meadowcross.estimates.samples import Samples
+from meadowcross.estimates.estimators import MeanRatioEstimator, RunTimeEstimator
+from meadowcross.estimates.samples import SampleCollector
 from meadowcross.leadership.term_context import TermContext
 from meadowcross.store.client import StoreClient
 
 if TYPE_CHECKING:
-    from meadowcross.estimates.keeper import EstimateKeeper
-    from meadowcross.estimates.learned import Learned
+    from meadowcross.estimates.estimate_storage import EstimateStorage
+    from meadowcross.estimates.run_time_model import RunTimeModel
 
 LEARN_ONLY = 1
 """From this value of `learned_estimates` on, run times are learned."""
@@ -25,18 +25,18 @@
 class RunTimeEstimators:
     """The estimators of a term."""
 
-    runs: Runs
+    decision_estimator: RunTimeEstimator
     """The estimator that decisions use."""
-    samples: Samples
+    samples: SampleCollector
     """Passes observed runs to all estimators that learn."""
-    learned: Learned | None = None
-    keeper: EstimateKeeper | None = None
+    learned: RunTimeModel | None = None
+    storage: EstimateStorage | None = None
     """Stores the learned run times; None where none are learned."""
 
     @property
-    def means(self) -> MeanRuns | None:
+    def means(self) -> MeanRatioEstimator | None:
         """The mean-based estimator if decisions use it, else None."""
-        return self.runs if isinstance(self.runs, MeanRuns) else None
+        return self.decision_estimator if isinstance(self.decision_estimator, MeanRatioEstimator) else None
 
 
 def build_estimators(
@@ -45,15 +45,15 @@
     """Choose the estimators by the operators' settings. `reread_keys` is that of `GroupCommitter`."""
     level = context.operator_settings.learned_estimates
     if level < LEARN_ONLY:
-        means = MeanRuns()
-        return RunTimeEstimators(means, Samples([means]))
+        means = MeanRatioEstimator()
+        return RunTimeEstimators(means, SampleCollector([means]))
     # Imported only by a leader that learns run times: a killed controller restarts faster without these imports.
-    from meadowcross.estimates.keeper import EstimateKeeper  # noqa: PLC0415 - start-up time
-    from meadowcross.estimates.learned import Learned  # noqa: PLC0415 - start-up time
+    from meadowcross.estimates.estimate_storage import EstimateStorage  # noqa: PLC0415 - start-up time
+    from meadowcross.estimates.run_time_model import RunTimeModel  # noqa: PLC0415 - start-up time
 
-    learned = Learned(context.clock)
-    keeper = EstimateKeeper(context.clock, store, context.leader_condition, learned, reread_keys)
+    learned = RunTimeModel(context.clock)
+    storage = EstimateStorage(context.clock, store, context.leader_condition, learned, reread_keys)
     if level >= LEARN_AND_USE:
-        return RunTimeEstimators(learned, Samples([learned]), learned, keeper)
-    means = MeanRuns()
-    return RunTimeEstimators(means, Samples([learned, means]), learned, keeper)
+        return RunTimeEstimators(learned, SampleCollector([learned]), learned, storage)
+    means = MeanRatioEstimator()
+    return RunTimeEstimators(means, SampleCollector([learned, means]), learned, storage)
--- a/meadowcross/leadership/scheduling_view.py
+++ b/meadowcross/leadership/scheduling_view.py
@@ -12,8 +12,8 @@
 from meadowcross.common.clock import Clock
 from meadowcross.common.settings import Facts
 from meadowcross.common.types import EPSILON, Instant, MachineId, Seconds
-from meadowcross.estimates.runs import Runs
-from meadowcross.estimates.samples import ran
+from meadowcross.estimates.estimators import RunTimeEstimator
+from meadowcross.estimates.samples import elapsed_run_s
 from meadowcross.jobs.job_table import Job, JobTable, PlacementPhase
 from meadowcross.jobs.messages import JobKind, JobSpec
 from meadowcross.jobs.objectives import ServiceLevelObjectives, slack
@@ -73,14 +73,14 @@
         job_table: JobTable,
         worker_registry: WorkerRegistry,
         health: FailureTracker,
-        runs: Runs,
+        run_time_estimator: RunTimeEstimator,
     ) -> None:
         self._clock = clock
         self._machine_types = machine_types
         self._job_table = job_table
         self._worker_registry = worker_registry
         self._health = health
-        self._runs = runs
+        self._run_time_estimator = run_time_estimator
         self._teams = {team.name: team for team in facts.teams}
         self._objectives = ServiceLevelObjectives(facts.objectives)
         self._contact_window_s = silence_window(facts.workers.report_s)
@@ -267,7 +267,7 @@
 
     def _pending_job(self, job: Job, shared: _SharedInputs) -> PendingJob:
         spec = job.spec
-        run_s = self._runs.run(spec)
+        run_s = self._run_time_estimator.run_time(spec)
         elapsed_s = shared.now - job.submitted_at
         if job.deadlines is None:
             job.deadlines = self._objectives.deadlines(spec)
@@ -400,7 +400,7 @@
         spec = job.spec
         checkpoint_interval_s = spec.checkpoint_interval_s
         has_checkpoints = checkpoint_interval_s > 0
-        almost_done_s = max(ALMOST_DONE_S, self._runs.run(spec) - ALMOST_DONE_S)
+        almost_done_s = max(ALMOST_DONE_S, self._run_time_estimator.run_time(spec) - ALMOST_DONE_S)
         for placement in job.placements.values():
             if placement.stop_requested_at is not None:
                 continue
@@ -408,10 +408,10 @@
                 continue
             if not is_machine_schedulable(placement.machine):
                 continue
-            ran_s = ran(job, placement, now)
+            ran_s = elapsed_run_s(job, placement, now)
             # The median of runs that have lasted this long is not below the median of all runs, so the remaining time
             # is only estimated close to the median or past it.
-            if ran_s > almost_done_s and self._runs.left(spec, ran_s) < ALMOST_DONE_S:
+            if ran_s > almost_done_s and self._run_time_estimator.remaining_time(spec, ran_s) < ALMOST_DONE_S:
                 continue
             lost_s = ran_s % checkpoint_interval_s if has_checkpoints else ran_s
             yield Victim(
--- a/meadowcross/leadership/task_outcomes.py
+++ b/meadowcross/leadership/task_outcomes.py
@@ -4,7 +4,7 @@
 
 from meadowcross.common.logging import get_logger
 from meadowcross.common.types import Instant, Seconds
-from meadowcross.estimates.samples import Samples, Where
+from meadowcross.estimates.samples import SampleCollector, SampleMachine
 from meadowcross.jobs.job_table import Job, Placement
 from meadowcross.leadership.machine_records import MachineDecommissioner
 from meadowcross.leadership.placement_writer import PlacementWriter
@@ -29,7 +29,7 @@
         state: TermState,
         placement_writer: PlacementWriter,
         health: FailureTracker,
-        samples: Samples,
+        samples: SampleCollector,
         decommissioner: MachineDecommissioner,
     ) -> None:
         self._context = state.context
@@ -72,8 +72,8 @@
                 "task done task=%s machine=%s elapsed_s=%.2f", placement.task, machine.id, now - placement.running_at
             )
         is_healthy = not self._health.is_quarantined(machine.id)
-        where = Where(machine.id, machine.kind.type, is_healthy, machine.contact.silence_ended_at)
-        self._samples.done(job, placement, where, now)
+        sample_machine = SampleMachine(machine.id, machine.kind.type, is_healthy, machine.contact.silence_ended_at)
+        self._samples.on_task_completed(job, placement, sample_machine, now)
         machine.images.record(job.spec.image)
         self._job_table.complete_task(placement)
         self._decommissioner.decommission(self._health.record_success(job, machine.id), UNHEALTHY_REASON)
@@ -87,7 +87,7 @@
             machine.id,
             outcome.exit_reason,
         )
-        self._samples.gone(job, placement, outcome.has_saved_progress, None, now)
+        self._samples.on_task_interrupted(job, placement, outcome.has_saved_progress, None, now)
         self._job_table.release(placement)
         job.last_loss_at = now
         if outcome.exit_reason in (EXIT_ERROR, EXIT_UNKNOWN_JOB) and job.cancelled_at is None:
--- a/meadowcross/leadership/term.py
+++ b/meadowcross/leadership/term.py
@@ -67,7 +67,7 @@
 from meadowcross.workers.registry import WorkerRegistry
 
 if TYPE_CHECKING:
-    from meadowcross.estimates.finish import Ends
+    from meadowcross.estimates.completion_time import CompletionForecast
     from meadowcross.leadership.completion_forecaster import CompletionForecaster
 
 log = get_logger("leadership")
@@ -160,7 +160,7 @@
             self.job_table,
             self.worker_registry,
             self.health,
-            self.estimators.runs,
+            self.estimators.decision_estimator,
         )
         self.preemption = PreemptionPlanner(self.context.operator_settings)
         self.verification = MachineVerification(self.state, self.recovery, self.pass_trigger)
@@ -273,7 +273,7 @@
         if self.forecaster is not None:
             on_job_ended.append(self.forecaster.on_job_ended)
         if (learned := self.estimators.learned) is not None:
-            on_job_ended.append(lambda job: learned.forget(job.id))
+            on_job_ended.append(lambda job: learned.drop_job(job.id))
         self.placement_writer.set_listeners(self.heartbeat_handler.on_command_response, on_job_ended)
 
     def _build_loading(self) -> None:
@@ -342,8 +342,8 @@
             return
         self.lifecycle.is_stopped = True
         self.group_committer.stop()
-        if self.estimators.keeper is not None:
-            self.estimators.keeper.stop()
+        if self.estimators.storage is not None:
+            self.estimators.storage.stop()
         self.placement_writer.stop()
         self.autoscaler.stop()
         self.maintenance_loop.stop()
@@ -369,8 +369,8 @@
         self.maintenance_loop.start()
         if self.state_reader.was_replica_followed and self._follower is not None:
             Deferred.fromCoroutine(verify_replica(self.state, self._store, self._follower))
-        if self.estimators.keeper is not None:
-            self.context.clock.callLater(ESTIMATES_DELAY_S, self.estimators.keeper.start)
+        if self.estimators.storage is not None:
+            self.context.clock.callLater(ESTIMATES_DELAY_S, self.estimators.storage.start)
         await self.job_watch.run(revision)
 
     async def _load(self) -> Revision | None:
@@ -460,6 +460,6 @@
         """See `HintExchange.export`."""
         return self.hint_exchange.export()
 
-    def forecast(self, job_id: JobId) -> Ends | None:
+    def forecast(self, job_id: JobId) -> CompletionForecast | None:
         """Returns when the job will be done; None before the state is loaded, or where run times are not learned."""
         return self.forecaster.forecast(job_id) if self.forecaster is not None and self.loaded else None
--- a/meadowcross/workers/eviction.py
+++ b/meadowcross/workers/eviction.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 from meadowcross.common.types import Instant, Seconds
-from meadowcross.estimates.runs import Runs
-from meadowcross.estimates.samples import ran
+from meadowcross.estimates.estimators import RunTimeEstimator
+from meadowcross.estimates.samples import elapsed_run_s
 from meadowcross.jobs.job_table import Job, JobTable, Placement, PlacementPhase
 from meadowcross.jobs.messages import checkpoint_grace_s
 from meadowcross.workers.machine import Machine
@@ -39,7 +39,9 @@
     cancelled_for_s: Seconds
 
 
-def plan_reclaim_evictions(machine: Machine, job_table: JobTable, runs: Runs, now: Instant) -> list[Eviction]:
+def plan_reclaim_evictions(
+    machine: Machine, job_table: JobTable, estimator: RunTimeEstimator, now: Instant
+) -> list[Eviction]:
     """Return the placements to stop on a machine with an eviction notice.
 
     A task with checkpoints saves one. In a gang all tasks save together, since a checkpoint of some of them would
@@ -59,7 +61,9 @@
                 for member in job.placements.values() if job.is_gang else [placement]:
                     if member.may_have_started and member.stop_requested_at is None:
                         evictions[id(member)] = Eviction(member, max(remaining_s, job.spec.checkpoint_save_s))
-        elif not job.is_gang and runs.left(job.spec, ran(job, placement, now)) > OVERRUN_FACTOR * max(remaining_s, 0.0):
+        elif not job.is_gang and estimator.remaining_time(
+            job.spec, elapsed_run_s(job, placement, now)
+        ) > OVERRUN_FACTOR * max(remaining_s, 0.0):
             evictions[id(placement)] = Eviction(placement, 0.0)
     return list(evictions.values())
 
@@ -96,7 +100,9 @@
     ]
 
 
-def plan_drain_evictions(machine: Machine, job_table: JobTable, runs: Runs, now: Instant) -> list[Eviction]:
+def plan_drain_evictions(
+    machine: Machine, job_table: JobTable, estimator: RunTimeEstimator, now: Instant
+) -> list[Eviction]:
     """Return the placements to stop on a draining machine.
 
     A task with checkpoints continues from its checkpoint on another machine. A task without checkpoints, or one that is
@@ -110,7 +116,7 @@
             continue
         if placement.phase is not PlacementPhase.RUNNING or placement.running_at is None:
             continue
-        remaining_s = runs.left(job.spec, ran(job, placement, now))
+        remaining_s = estimator.remaining_time(job.spec, elapsed_run_s(job, placement, now))
         if (
             now - placement.running_at > MIN_RUN_BEFORE_MOVE_S
             and not 0 <= remaining_s <= 2 * job.spec.checkpoint_save_s
--- a/tests/estimates/test_learned_run_times.py
+++ b/tests/estimates/test_learned_run_times.py
@@ -14,15 +14,15 @@
 
 from meadowcross.cli import main
 from meadowcross.common.types import MachineId
-from meadowcross.estimates import learned as learned_module
 from meadowcross.estimates import messages as m
+from meadowcross.estimates import run_time_model
 from meadowcross.estimates.adaptive_distribution import AdaptiveDistribution
+from meadowcross.estimates.completion_time import RemainingWork, median_completion_s
 from meadowcross.estimates.curve import Curve, lognormal
 from meadowcross.estimates.entry_summary import format_table, summarize_record
-from meadowcross.estimates.finish import Left, middle_of
 from meadowcross.estimates.history import Run, generate_history
-from meadowcross.estimates.learned import Learned, RunFeatures, features_of
 from meadowcross.estimates.replay import Replay
+from meadowcross.estimates.run_time_model import RunFeatures, RunTimeModel, features_of
 from meadowcross.estimates.sketch import DecayingSketch
 from meadowcross.jobs.messages import JobSpec
 from tests.support.world import job
@@ -36,7 +36,7 @@
 
 def learn_from(runs, clock=None, **values):
     clock = clock or Clock()
-    learned = Learned(clock)
+    learned = RunTimeModel(clock)
     for seconds in runs:
         learned.learn_completed(features(**values), seconds)
         clock.advance(2.0)
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize("guess_s", [0.0, 1e-6, 30.0, 1e9])
 @pytest.mark.parametrize("name", ["x", "é" * 200, "\x00\n ~/%", "../../a"])
 def test_features_without_history_get_a_plausible_wide_interval(name, guess_s):
-    curve = Learned(Clock()).curve(features(name, guess_s))
+    curve = RunTimeModel(Clock()).curve(features(name, guess_s))
     low, high = curve.quantile(0.1), curve.quantile(0.9)
     assert 0 < low < high < float("inf") and (high / low > 3 or guess_s < 1e-3)
     key = m.store_key(m.class_entry_name(name))
@@ -156,21 +156,21 @@
 def test_overdue_runs_raise_predictions_only_while_they_run():
     learned = learn_from(noisy(1, 40, 100), job_class="train")
     jobs = [msgspec.structs.replace(SPEC, id=f"wk-{i:06d}") for i in range(8)]
-    before = learned.run(SPEC)
-    learned.watch([(spec, [20.0, 30.0]) for spec in jobs])
+    before = learned.run_time(SPEC)
+    learned.update_running([(spec, [20.0, 30.0]) for spec in jobs])
     learned._clock.advance(5.0)
-    assert learned.run(SPEC) == before, "nothing is overdue yet"
-    learned.watch([(spec, [80.0]) for spec in jobs])
+    assert learned.run_time(SPEC) == before, "nothing is overdue yet"
+    learned.update_running([(spec, [80.0]) for spec in jobs])
     learned._clock.advance(5.0)
-    assert learned.run(SPEC, 0.75) > 1.5 * before and learned.run(SPEC) > before
-    learned.watch([])
+    assert learned.run_time(SPEC, 0.75) > 1.5 * before and learned.run_time(SPEC) > before
+    learned.update_running([])
     learned._clock.advance(5.0)
-    assert learned.run(SPEC) == before
+    assert learned.run_time(SPEC) == before
 
 
 def test_a_slow_machine_is_ignored_but_a_change_on_all_machines_is_learned():
     clock = Clock()
-    learned = Learned(clock)
+    learned = RunTimeModel(clock)
     random = Random(7)
     for i in range(400):
         machine = random.randrange(10)
@@ -203,15 +203,15 @@
     learned = learn_from(noisy(1, 40, 100, 0.5))
     spec = msgspec.structs.replace(SPEC, id="wk-000009")
     for seconds in (30.0, 31.0, 32.0, 33.0):
-        learned.done(spec, seconds, MachineId("i-1"), "")
+        learned.on_completed(spec, seconds, MachineId("i-1"), "")
     learned._clock.advance(5.0)
-    before = learned.run(spec)
-    learned.watch([(spec, [70.0] * 12)])
+    before = learned.run_time(spec)
+    learned.update_running([(spec, [70.0] * 12)])
     learned._clock.advance(5.0)
-    assert learned.run(spec) > 1.5 * before
-    learned.watch([])
-    learned.forget("wk-000009")
-    assert learned.run(spec) == learned.run(SPEC)
+    assert learned.run_time(spec) > 1.5 * before
+    learned.update_running([])
+    learned.drop_job("wk-000009")
+    assert learned.run_time(spec) == learned.run_time(SPEC)
 
 
 def test_merged_sketches_match_one_sketch_of_all_samples():
@@ -230,7 +230,7 @@
 
 def test_records_are_bounded_in_size_and_number_and_keep_predictions(monkeypatch):
     clock = Clock()
-    learned = Learned(clock)
+    learned = RunTimeModel(clock)
     random = Random(3)
     for i in range(600):
         run_features = features("wild", exp(random.uniform(1, 5)), f"team {i % 40}", f"type {i % 7}")
@@ -241,13 +241,13 @@
     smaller = learned.encode_entry("c/wild", len(record) - 1)
     assert smaller is not None and len(smaller) < len(record), "no subgroup was left out"
     assert learned.encode_entry("c/wild", 200) is None
-    other = Learned(clock)
+    other = RunTimeModel(clock)
     for entry in learned.entries():
         other.add_stored(m.store_key(entry.name), msgspec.Raw(learned.encode_entry(entry.name, 64 * 1024)))
     assert other.curve(features("wild")).quantile(0.5) == pytest.approx(
         learned.curve(features("wild")).quantile(0.5), rel=0.05
     )
-    monkeypatch.setattr(learned_module, "MAX_ENTRIES", 20)
+    monkeypatch.setattr(run_time_model, "MAX_ENTRIES", 20)
     for i in range(50):
         learned.learn_completed(features(f"class {i}"), 10.0)
     assert len(learned.entries()) == 20 and m.store_key("c/class 0") in learned.evicted_keys
@@ -273,7 +273,7 @@
 @pytest.mark.parametrize("value", [u[1] for u in UNREADABLE], ids=[u[0] for u in UNREADABLE])
 def test_an_unreadable_record_is_ignored_and_others_are_used(value, caplog):
     caplog.set_level("INFO")
-    learned = Learned(Clock())
+    learned = RunTimeModel(Clock())
     learned.add_stored("est/c/train", msgspec.Raw(value))
     learned.add_stored("est/t/b", msgspec.Raw(learn_from(noisy(1, 60, 30)).encode_entry("t/b", 16_000)))
     # The class is predicted from the guess alone, corrected by its team.
@@ -285,7 +285,7 @@
 
 
 def test_a_record_of_a_newer_format_is_not_overwritten():
-    learned = Learned(Clock())
+    learned = RunTimeModel(Clock())
     learned.add_stored("est/c/train", msgspec.Raw(json.dumps({**VALID_RECORD, "v": 2, "more": 1}).encode()))
     learned.learn_completed(features(), 30.0)
     assert learned.encode_entry("c/train", 16_000) is None and learned.curve(features()).quantile(0.5) > 0
@@ -302,7 +302,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.data())
 def test_corrupted_records_do_not_break_predictions(data):
-    learned = Learned(Clock())
+    learned = RunTimeModel(Clock())
     learned.add_stored("est/c/train", msgspec.Raw(_corrupted_record(data)))
     curve = learned.curve(features())
     assert isfinite(curve.quantile(0.5)) and curve.quantile(0.5) > 0
@@ -376,20 +376,20 @@
 
 REMAINING_WORK = [
     # name, remaining work, bounds of the median completion time in runs of 40 s
-    ("no tasks", Left(0, 0, [], 4, 0.0, 0.0), (0, 0)),
-    ("one running task", Left(0, 0, [20.0], 4, 0.0, 0.0), (0.3, 0.8)),
-    ("overdue", Left(0, 0, [200.0], 4, 0.0, 0.0), (0.2, 3)),
-    ("two rounds", Left(4, 0, [1.0] * 4, 4, 0.0, 0.0), (1.7, 2.6)),
-    ("ten rounds", Left(36, 0, [1.0] * 4, 4, 0.0, 0.0), (9, 11.5)),
-    ("wait for a slot", Left(1, 0, [], 0, 400.0, 0.0), (11, 12.5)),
-    ("image fetch first", Left(0, 1, [], 1, 0.0, 40.0), (1.9, 2.3)),
-    ("thousands of tasks", Left(8000, 0, [10.0] * 2000, 2000, 0.0, 0.0), (4.5, 6.5)),
+    ("no tasks", RemainingWork(0, 0, [], 4, 0.0, 0.0), (0, 0)),
+    ("one running task", RemainingWork(0, 0, [20.0], 4, 0.0, 0.0), (0.3, 0.8)),
+    ("overdue", RemainingWork(0, 0, [200.0], 4, 0.0, 0.0), (0.2, 3)),
+    ("two rounds", RemainingWork(4, 0, [1.0] * 4, 4, 0.0, 0.0), (1.7, 2.6)),
+    ("ten rounds", RemainingWork(36, 0, [1.0] * 4, 4, 0.0, 0.0), (9, 11.5)),
+    ("wait for a slot", RemainingWork(1, 0, [], 0, 400.0, 0.0), (11, 12.5)),
+    ("image fetch first", RemainingWork(0, 1, [], 1, 0.0, 40.0), (1.9, 2.3)),
+    ("thousands of tasks", RemainingWork(8000, 0, [10.0] * 2000, 2000, 0.0, 0.0), (4.5, 6.5)),
 ]
 
 
 @pytest.mark.parametrize(("remaining", "bounds"), [c[1:] for c in REMAINING_WORK], ids=[c[0] for c in REMAINING_WORK])
 def test_the_median_completion_time_follows_from_the_remaining_work(remaining, bounds):
-    median_runs = middle_of(remaining, Curve(lognormal(log(40.0), 0.2)), 0.5) / 40
+    median_runs = median_completion_s(remaining, Curve(lognormal(log(40.0), 0.2)), 0.5) / 40
     assert bounds[0] <= median_runs <= bounds[1]
 
 
--- a/tests/estimates/test_stored_estimates.py
+++ b/tests/estimates/test_stored_estimates.py
@@ -70,7 +70,7 @@
     assert 8 < curve.quantile(0.5) < 20, "the guess is 30 s, runs take 12 s"
     second = next_term(world)
     world.pass_time(2.0)
-    assert second.estimators.keeper.loaded and second.estimators.runs.run(
+    assert second.estimators.storage.loaded and second.estimators.decision_estimator.run_time(
         msgspec.convert(job(), jm.JobSpec)
     ) == pytest.approx(curve.quantile(0.5), rel=0.1)
     run_jobs(world, 2, first=5)
@@ -85,13 +85,13 @@
     world.net.faults = [(f"state:1/kv?under={m.PREFIX}", "refuse")] * 200
     second = next_term(world)
     run_jobs(world, 2, first=4)
-    assert not second.estimators.keeper.loaded and stored_sample_count(world) == 3, (
+    assert not second.estimators.storage.loaded and stored_sample_count(world) == 3, (
         "a record that was not loaded was overwritten"
     )
     world.net.faults = []
     world.pass_time(50.0)
     # The samples since the takeover and the stored samples are merged, and each counts once.
-    assert second.estimators.keeper.loaded and stored_sample_count(world) == 5
+    assert second.estimators.storage.loaded and stored_sample_count(world) == 5
 
 
 @pytest.mark.parametrize("fault", ["lose", "late", "refuse"])
@@ -143,7 +143,7 @@
     world.pass_time(40.0)
     count_before = stored_sample_count(world)
     assert [response[0] for response in world.net.deliver_late()] == [409]
-    assert stored_sample_count(world) == count_before and second.estimators.keeper.loaded
+    assert stored_sample_count(world) == count_before and second.estimators.storage.loaded
 
 
 def test_a_store_outage_loses_no_sample_and_delays_no_placement(world):
@@ -169,7 +169,7 @@
     term = world.lead()
     for number in range(300):
         spec = msgspec.convert(job(id=f"wk-{number:06d}", herd=f"class {number}"), jm.JobSpec)
-        term.estimators.learned.done(spec, 10.0 + number, "i-1", "small")
+        term.estimators.learned.on_completed(spec, 10.0 + number, "i-1", "small")
     before = len(stored_writes(world))
     world.pass_time(30.0)
     assert 20 <= len(stored_writes(world)) - before <= 31
@@ -243,8 +243,8 @@
     term = world.lead()
     learned_runs_s = []
     learned = term.estimators.learned
-    original = learned.done
-    learned.done = lambda spec, run_s, *more: (learned_runs_s.append(run_s), original(spec, run_s, *more))
+    original = learned.on_completed
+    learned.on_completed = lambda spec, run_s, *more: (learned_runs_s.append(run_s), original(spec, run_s, *more))
     world.submit(heads=1, **changes)
     while not world.running():
         world.pass_time(0.5)
@@ -285,7 +285,7 @@
     assert 0 < low < median < high < 400 and median > 20
     world.pass_time(5.0)
     later = term.forecast(job_id)
-    assert later.middle < median
+    assert later.median_s < median
     # A follower requests the forecast from the leader over the peer connection, and adds it to its response.
     assert jm.encode(jm.JobResponse(job_id, jm.JobState.RUNNING, 0, 6, (1.0, 2.0, 3.0))).endswith(
         b'"endsS":[1.0,2.0,3.0]}'
@@ -306,7 +306,7 @@
     world.pass_time(40.0)
     spec = msgspec.convert(job(), jm.JobSpec)
     # Decisions use the guess of 30 s, corrected by the mean of three runs of 12 s.
-    assert 24 < term.estimators.runs.run(spec) < 30
+    assert 24 < term.estimators.decision_estimator.run_time(spec) < 30
     assert bool(stored_writes(world)) == (level == 1.0)
     world.submit(id="wk-000009")
     world.pass_time(5.0)
@@ -334,5 +334,5 @@
     term = world.lead()
     run_jobs(world, 4, 10.0)
     spec = msgspec.convert(job(id="wk-000099"), jm.JobSpec)
-    assert term.estimators.runs.left(spec, 5.0) == pytest.approx(5.0, abs=3.0)
-    assert term.estimators.runs.left(spec, 100.0) >= 5.0
+    assert term.estimators.decision_estimator.remaining_time(spec, 5.0) == pytest.approx(5.0, abs=3.0)
+    assert term.estimators.decision_estimator.remaining_time(spec, 100.0) >= 5.0
--- a/tests/leadership/test_incremental_snapshot.py
+++ b/tests/leadership/test_incremental_snapshot.py
@@ -17,7 +17,7 @@
 from meadowcross.autoscaling.messages import decode_machine_types, encode
 from meadowcross.common.settings import OperatorSettings, Settings
 from meadowcross.common.types import EPSILON, Attempt, FencingToken, Instant, MachineId, MachineKind, Revision, WallTime
-from meadowcross.estimates.runs import MeanRuns
+from meadowcross.estimates.estimators import MeanRatioEstimator
 from meadowcross.jobs.job_table import JobTable, PlacementPhase
 from meadowcross.jobs.messages import JobRecord, JobSpec
 from meadowcross.leadership.scheduling_view import SchedulingView
@@ -42,7 +42,7 @@
         self.clock.advance(100.0)
         self.job_table = JobTable()
         self.worker_registry = WorkerRegistry(FencingToken(1))
-        runs = MeanRuns()
+        runs = MeanRatioEstimator()
         self.view = SchedulingView(
             self.clock,
             msgspec.convert(SETTINGS, Settings).facts,
--- a/tests/leadership/test_scheduling_snapshot.py
+++ b/tests/leadership/test_scheduling_snapshot.py
@@ -9,7 +9,7 @@
 from meadowcross.autoscaling.messages import decode_machine_types, encode
 from meadowcross.common.settings import Objective, Settings
 from meadowcross.common.types import FencingToken, Instant, Revision, WallTime
-from meadowcross.estimates.runs import MeanRuns
+from meadowcross.estimates.estimators import MeanRatioEstimator
 from meadowcross.jobs.job_table import JobTable
 from meadowcross.jobs.messages import JobRecord, JobSpec
 from meadowcross.leadership.scheduling_view import SchedulingView
@@ -46,7 +46,13 @@
         JobRecord(msgspec.convert(job(herd=job_class, pullGb=image_gb), JobSpec), WallTime(100.0)), Revision(1)
     )
     view = SchedulingView(
-        clock, facts, lambda: types, job_table, WorkerRegistry(FencingToken(1)), FailureTracker(bool), MeanRuns()
+        clock,
+        facts,
+        lambda: types,
+        job_table,
+        WorkerRegistry(FencingToken(1)),
+        FailureTracker(bool),
+        MeanRatioEstimator(),
     )
     assert [pending.requires_cached_image for pending in view.pending_jobs()] == [requires_cached_image]
 
@@ -76,7 +82,13 @@
     list(waiting_job.load_chunk(0, attempts))
     job_table.rebuild_waiting(waiting_job)
     view = SchedulingView(
-        clock, facts, lambda: types, job_table, WorkerRegistry(FencingToken(1)), FailureTracker(bool), MeanRuns()
+        clock,
+        facts,
+        lambda: types,
+        job_table,
+        WorkerRegistry(FencingToken(1)),
+        FailureTracker(bool),
+        MeanRatioEstimator(),
     )
     assert [(pending.is_starved, pending.task_count) for pending in view.pending_jobs()] == [expected]
 
@@ -111,7 +123,13 @@
     job_table.rebuild_waiting(lost_job)
     lost_job.last_loss_at = Instant(500.0 - lost_for_s)
     view = SchedulingView(
-        clock, facts, lambda: types, job_table, WorkerRegistry(FencingToken(1)), FailureTracker(bool), MeanRuns()
+        clock,
+        facts,
+        lambda: types,
+        job_table,
+        WorkerRegistry(FencingToken(1)),
+        FailureTracker(bool),
+        MeanRatioEstimator(),
     )
     (pending,) = view.pending_jobs()
     assert (pending.requires_cached_image, pending.start_slack_s < 0) == (requires_cached_image, is_late)
--- a/tests/workers/test_eviction.py
+++ b/tests/workers/test_eviction.py
@@ -6,7 +6,7 @@
 import pytest
 
 from meadowcross.common.types import Instant, MachineId, MachineKind, Revision, WallTime
-from meadowcross.estimates.runs import MeanRuns
+from meadowcross.estimates.estimators import MeanRatioEstimator
 from meadowcross.jobs.job_table import JobTable, PlacementPhase
 from meadowcross.jobs.messages import JobRecord, JobSpec
 from meadowcross.workers.eviction import overdue_cancellations, plan_drain_evictions, plan_reclaim_evictions
@@ -58,7 +58,7 @@
 def test_reclaim_stops_tasks_that_save_or_cannot_end_in_time(changes, phase, running_at, remaining_s, graces_s):
     job_table, _, machine = place_job(changes, phase, running_at)
     machine.reclaim_at = None if remaining_s is None else Instant(NOW + remaining_s)
-    assert [grace_s for _, grace_s in plan_reclaim_evictions(machine, job_table, MeanRuns(), NOW)] == graces_s
+    assert [grace_s for _, grace_s in plan_reclaim_evictions(machine, job_table, MeanRatioEstimator(), NOW)] == graces_s
 
 
 CANCELLATIONS = [
@@ -103,4 +103,4 @@
 )
 def test_drain_stops_tasks_with_checkpoints_that_are_not_about_to_end(changes, phase, running_at, graces_s):
     job_table, _, machine = place_job(changes, phase, running_at)
-    assert [grace_s for _, grace_s in plan_drain_evictions(machine, job_table, MeanRuns(), NOW)] == graces_s
+    assert [grace_s for _, grace_s in plan_drain_evictions(machine, job_table, MeanRatioEstimator(), NOW)] == graces_s
