--- a/meadowcross/controller/leadership.py
+++ b/meadowcross/controller/leadership.py
@@ -130,7 +130,7 @@
             services.machine_types.machine_types,
             token,
             self._election,
-            self._link.status.most_workers_heard,
+            self._link.status.max_reporting_workers,
             self._follower,
             self._hints.hints_before(token) if self._follower is not None else None,
             self._recovery,
@@ -217,7 +217,7 @@
             for heartbeat in self._link.status.fresh_heartbeats()
             if heartbeat.is_in_sync and heartbeat.is_store_answering
         ]
-        best = min(candidates, key=lambda heartbeat: (-heartbeat.workers_heard, heartbeat.node), default=None)
+        best = min(candidates, key=lambda heartbeat: (-heartbeat.reporting_workers, heartbeat.node), default=None)
         if best is None:
             return None
         response = await self._link.offer_leadership(best.node)
--- a/meadowcross/controller/peers.py
+++ b/meadowcross/controller/peers.py
@@ -49,7 +49,7 @@
             node=self.services.node,
             is_store_answering=store.is_answering(),
             leading_token=self.election.token,
-            workers_heard=self.workers.count(),
+            reporting_workers=self.workers.count(),
             incarnation=self.services.incarnation,
             is_in_sync=follower is not None and follower.is_in_sync,
             lost_peers=self.peers.lost_peers(),
@@ -60,7 +60,7 @@
             highest_token=epochs.highest_token,
             followed_revision=follower.followed_revision() if follower is not None else Revision(0),
             store_utilization=store.used_share(),
-            relay_room=self.relay_capacity,
+            relay_capacity=self.relay_capacity,
         )
 
     def peer_heartbeats(self) -> list[PeerHeartbeat]:
--- a/meadowcross/leadership/failure_detector.py
+++ b/meadowcross/leadership/failure_detector.py
@@ -86,7 +86,7 @@
     breaks ties.
     """
     candidates = (own_heartbeat, *peer_heartbeats)
-    most_workers_heard = max((heartbeat.workers_heard for heartbeat in candidates), default=0)
+    max_reporting_workers = max((heartbeat.reporting_workers for heartbeat in candidates), default=0)
 
     def sort_key(heartbeat: PeerHeartbeat) -> tuple[bool, int, bool, bool, NodeName]:
         # After a data loss, the candidate with the newest followed revision has the most to write back.
@@ -95,7 +95,7 @@
             not heartbeat.is_store_answering,
             -followed_revision,
             not heartbeat.is_in_sync,
-            2 * heartbeat.workers_heard < most_workers_heard,
+            2 * heartbeat.reporting_workers < max_reporting_workers,
             heartbeat.node,
         )
 
--- a/meadowcross/leadership/messages.py
+++ b/meadowcross/leadership/messages.py
@@ -28,7 +28,7 @@
     """Whether the store responds to the node."""
     leading_token: FencingToken | None = field(name="leads", default=None)
     """The token of the node while it leads, else None."""
-    workers_heard: int = field(name="hears", default=0)
+    reporting_workers: int = field(name="hears", default=0)
     """Number of workers that sent heartbeats to the node recently, whether it leads or not."""
     incarnation: str = field(name="life", default="")
     """Identifies the process among all processes of the node; empty in messages from nodes of an earlier version."""
@@ -51,7 +51,7 @@
     processed all writes."""
     store_utilization: float = field(name="store_used", default=0.0)
     """Recently used share of the rate limits of the store; followers may borrow what the leader leaves unused."""
-    relay_room: int | None = None
+    relay_capacity: int | None = field(name="relay_room", default=None)
     """Number of workers that the node can serve as a relay; None if it can't relay, as nodes of an earlier version."""
 
 
--- a/meadowcross/leadership/peer_status.py
+++ b/meadowcross/leadership/peer_status.py
@@ -89,9 +89,9 @@
         """Return whether a recent heartbeat of any peer reports that the store responds to that peer."""
         return any(heartbeat.is_store_answering for heartbeat in self.recent_heartbeats())
 
-    def most_workers_heard(self) -> int | None:
+    def max_reporting_workers(self) -> int | None:
         """Return the highest worker count that a peer reported recently, or None without recent heartbeats."""
-        return max((heartbeat.workers_heard for heartbeat in self.recent_heartbeats()), default=None)
+        return max((heartbeat.reporting_workers for heartbeat in self.recent_heartbeats()), default=None)
 
     def reported_leader(self) -> tuple[NodeName, FencingToken] | None:
         """Return the peer that recently reported the highest leading token, and that token; None if no peer did."""
--- a/meadowcross/relay/pool.py
+++ b/meadowcross/relay/pool.py
@@ -61,7 +61,7 @@
     """The part of a peer heartbeat that states whether the peer can be a relay."""
 
     node: NodeName
-    relay_room: int | None
+    relay_capacity: int | None
 
 
 class RelayLink(Protocol):
@@ -182,8 +182,8 @@
         granted: dict[NodeName, RelayCapacity] = {}
         for peer in self._peers():
             message = RelayGrant(self._node, self._token, GRANT_DURATION_S)
-            if peer.relay_room is not None and self._link.send_relay(message, peer.node):
-                granted[peer.node] = RelayCapacity(self._settings.zones.get(peer.node, ""), peer.relay_room)
+            if peer.relay_capacity is not None and self._link.send_relay(message, peer.node):
+                granted[peer.node] = RelayCapacity(self._settings.zones.get(peer.node, ""), peer.relay_capacity)
         return granted
 
     def _should_be_enabled(self) -> bool:
--- a/tests/leadership/test_peer_status.py
+++ b/tests/leadership/test_peer_status.py
@@ -54,6 +54,6 @@
 def test_old_heartbeats_are_ignored(world, status):
     status.record_heartbeat(PeerHeartbeat(PEER, True, FencingToken(7), 5))
     status.record_heartbeat(PeerHeartbeat(NodeName("n2"), False, FencingToken(9), 3))
-    assert (status.peer_has_store(), status.most_workers_heard(), status.reported_leader()) == (True, 5, ("n2", 9))
+    assert (status.peer_has_store(), status.max_reporting_workers(), status.reported_leader()) == (True, 5, ("n2", 9))
     world.clock.advance(HEARTBEAT_FRESH_S)
-    assert (status.peer_has_store(), status.most_workers_heard(), status.reported_leader()) == (False, None, None)
+    assert (status.peer_has_store(), status.max_reporting_workers(), status.reported_leader()) == (False, None, None)
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -241,8 +241,8 @@
 class FakePeer:
     """A peer with the number of workers that it can take as a relay; None for a node of an earlier version."""
 
-    def __init__(self, node, relay_room):
-        self.node, self.relay_room = node, relay_room
+    def __init__(self, node, relay_capacity):
+        self.node, self.relay_capacity = node, relay_capacity
 
 
 class LeaderWithRelays:
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -312,8 +312,8 @@
     assert (failure_reason(evidence) is not None) is is_failed
 
 
-def make_peer_heartbeat(name, workers_heard=0, is_in_sync=True, is_store_answering=True):
-    return PeerHeartbeat(NodeName(name), is_store_answering, None, workers_heard, name, is_in_sync)
+def make_peer_heartbeat(name, reporting_workers=0, is_in_sync=True, is_store_answering=True):
+    return PeerHeartbeat(NodeName(name), is_store_answering, None, reporting_workers, name, is_in_sync)
 
 
 RANKS = [
--- a/tests/simulation/test_relays.py
+++ b/tests/simulation/test_relays.py
@@ -351,7 +351,9 @@
 
     def granted(self):
         peers = self._peers
-        self._peers = lambda: [msgspec.structs.replace(beat, relay_room=beat.relay_room or 99) for beat in peers()]
+        self._peers = lambda: [
+            msgspec.structs.replace(beat, relay_capacity=beat.relay_capacity or 99) for beat in peers()
+        ]
         try:
             grant(self)
         finally:
