--- a/meadowcross/controller/assembly.py
+++ b/meadowcross/controller/assembly.py
@@ -205,7 +205,7 @@
     peer_replicas = PeerReplicas(
         reactor,
         services.peer_names,
-        lambda: [heartbeat.node for heartbeat in link.status.fresh_heartbeats()],
+        lambda: [heartbeat.node for heartbeat in link.status.live_peer_heartbeats()],
         link.request_replica_part,
     )
     recovery = StateRecovery(
--- a/meadowcross/controller/leadership.py
+++ b/meadowcross/controller/leadership.py
@@ -141,7 +141,7 @@
 
     def _is_cold_start(self) -> bool:
         """Return whether neither this node nor any peer has seen an earlier leader since its process began."""
-        peers = self._link.status.fresh_heartbeats()
+        peers = self._link.status.live_peer_heartbeats()
         return not (self._election.has_history or any(heartbeat.has_history for heartbeat in peers))
 
     def _build_relay_pool(self, token: FencingToken) -> RelayPool | None:
@@ -161,7 +161,7 @@
                 services.settings.facts.workers.report_s,
                 services.operator.silent_s,
             ),
-            self._link.status.fresh_heartbeats,
+            self._link.status.live_peer_heartbeats,
         )
 
 
@@ -214,7 +214,7 @@
         """
         candidates = [
             heartbeat
-            for heartbeat in self._link.status.fresh_heartbeats()
+            for heartbeat in self._link.status.live_peer_heartbeats()
             if heartbeat.is_in_sync and heartbeat.is_store_answering
         ]
         best = min(candidates, key=lambda heartbeat: (-heartbeat.reporting_workers, heartbeat.node), default=None)
--- a/meadowcross/controller/peers.py
+++ b/meadowcross/controller/peers.py
@@ -65,7 +65,7 @@
 
     def peer_heartbeats(self) -> list[PeerHeartbeat]:
         """Return the recent heartbeats of all peers that are not lost."""
-        return self.peers.fresh_heartbeats()
+        return self.peers.live_peer_heartbeats()
 
     def is_lost(self, peer: NodeName) -> bool:
         """Return whether the peer is lost, which means that its process has probably ended."""
--- a/meadowcross/controller/recovery.py
+++ b/meadowcross/controller/recovery.py
@@ -122,7 +122,7 @@
                 f"token {epochs.highest_token} was received, the store is at revision {self._store.highest_revision}"
             )
             epochs.report_loss(reason, True)
-        peer_epochs = (heartbeat.store_epoch or 0 for heartbeat in self._peers.fresh_heartbeats())
+        peer_epochs = (heartbeat.store_epoch or 0 for heartbeat in self._peers.live_peer_heartbeats())
         return await epochs.begin_epoch(LEADER_KEY, revision, max(peer_epochs, default=0))
 
 
@@ -157,7 +157,7 @@
         """Return whether this node does not lead and no follower in sync has a name that sorts before its own."""
         followers = [
             heartbeat.node
-            for heartbeat in self._peers.fresh_heartbeats()
+            for heartbeat in self._peers.live_peer_heartbeats()
             if heartbeat.is_in_sync and heartbeat.leading_token is None
         ]
         return self._terms.active() is None and min([self._node, *followers]) == self._node
@@ -186,7 +186,7 @@
         """Return the queries to peers in the form that the API for users takes."""
         return PeerQueries(
             progress=progress.progress_of,
-            has_store=self._link.status.peer_has_store,
+            has_store=self._link.status.has_peer_with_store,
             forward=self._link.forward,
             leader_forwarder=self.leader_forwarder,
             ask_peer_with_history=self.ask_peer_with_history,
@@ -207,7 +207,7 @@
         follower = self._follower
         if self._election.has_history and follower is not None and follower.has_followed_for(LONG_HISTORY_S):
             return None
-        peer = next(filter(_is_in_sync_with_history, self._link.status.fresh_heartbeats()), None)
+        peer = next(filter(_is_in_sync_with_history, self._link.status.live_peer_heartbeats()), None)
         return await self._link.forward("query", job, b"", peer.node) if peer is not None else None
 
     def leader_forwarder(self) -> RequestForwarder | None:
--- a/meadowcross/leadership/peer_status.py
+++ b/meadowcross/leadership/peer_status.py
@@ -81,11 +81,11 @@
             received.heartbeat for received in self._received.values() if now - received.received_at < HEARTBEAT_FRESH_S
         ]
 
-    def fresh_heartbeats(self) -> list[PeerHeartbeat]:
+    def live_peer_heartbeats(self) -> list[PeerHeartbeat]:
         """Return the heartbeats of `recent_heartbeats` except those of lost peers."""
         return [heartbeat for heartbeat in self.recent_heartbeats() if not self.is_lost(heartbeat.node)]
 
-    def peer_has_store(self) -> bool:
+    def has_peer_with_store(self) -> bool:
         """Return whether a recent heartbeat of any peer reports that the store responds to that peer."""
         return any(heartbeat.is_store_answering for heartbeat in self.recent_heartbeats())
 
--- a/tests/jobs/test_api.py
+++ b/tests/jobs/test_api.py
@@ -255,7 +255,11 @@
     assert world.run(link.forward("submit", "", body)) == ServerResponse(200, b'{"x":"\\u00e9"}\n')
     assert world.run(link.forward("cancel", "wk-000001", b"")).retry_after == 1
     assert served == [("submit", "", MAX_BODY), ("cancel", "wk-000001", 0)]
-    assert (status.peer_has_store(), status.max_reporting_workers(), status.reported_leader()) == (True, 5, ("n1", 7))
+    assert (status.has_peer_with_store(), status.max_reporting_workers(), status.reported_leader()) == (
+        True,
+        5,
+        ("n1", 7),
+    )
     progress = []
     for job_id in ("wk-000001", "wk-000002", "wk-000001"):
         link.request_progress(NodeName("n1"), job_id).addCallback(progress.append)
@@ -264,7 +268,11 @@
     # A silent peer receives no more requests.
     world.clock.advance(10.0)
     assert world.run(link.forward("query", "wk-000001", b"")) is None
-    assert (status.peer_has_store(), status.max_reporting_workers(), status.reported_leader()) == (False, None, None)
+    assert (status.has_peer_with_store(), status.max_reporting_workers(), status.reported_leader()) == (
+        False,
+        None,
+        None,
+    )
 
 
 def test_query_flood_gets_503_at_once_and_does_not_block_submissions(world):
--- a/tests/leadership/test_peer_status.py
+++ b/tests/leadership/test_peer_status.py
@@ -34,7 +34,7 @@
         status.record_disconnected(PEER)
     assert status.record_connect_failed(PEER, is_refused) is is_lost
     assert status.is_lost(PEER) is is_lost and status.lost_peers() == ([PEER] if is_lost else [])
-    assert status.fresh_heartbeats() == ([] if is_lost else status.recent_heartbeats())
+    assert status.live_peer_heartbeats() == ([] if is_lost else status.recent_heartbeats())
     assert not status.record_connect_failed(PEER, True), "a lost peer is reported once"
 
 
@@ -54,6 +54,14 @@
 def test_old_heartbeats_are_ignored(world, status):
     status.record_heartbeat(PeerHeartbeat(PEER, True, FencingToken(7), 5))
     status.record_heartbeat(PeerHeartbeat(NodeName("n2"), False, FencingToken(9), 3))
-    assert (status.peer_has_store(), status.max_reporting_workers(), status.reported_leader()) == (True, 5, ("n2", 9))
+    assert (status.has_peer_with_store(), status.max_reporting_workers(), status.reported_leader()) == (
+        True,
+        5,
+        ("n2", 9),
+    )
     world.clock.advance(HEARTBEAT_FRESH_S)
-    assert (status.peer_has_store(), status.max_reporting_workers(), status.reported_leader()) == (False, None, None)
+    assert (status.has_peer_with_store(), status.max_reporting_workers(), status.reported_leader()) == (
+        False,
+        None,
+        None,
+    )
