--- a/meadowcross/leadership/peer_link.py
+++ b/meadowcross/leadership/peer_link.py
@@ -143,7 +143,7 @@
         if connection is not None and self.status.supports_replication(leader):
             connection.send(request)
 
-    def send_relay(
+    def send_relay_message(
         self, message: RelayGrant | HeartbeatRenewals | ResendRequest | RelayedWorkers, peer: NodeName
     ) -> bool:
         """Send a relay message to one peer; return False without sending if there is no connection to the peer."""
@@ -154,7 +154,7 @@
 
     # Requests
 
-    async def ask_leader(
+    async def forward_heartbeat(
         self, leader: NodeName, make_request: Callable[[int], ForwardedHeartbeat], timeout_s: Seconds
     ) -> HeartbeatAnswer:
         """Forward a worker's heartbeat and return the leader's response.
@@ -163,7 +163,7 @@
         """
         return await self._relayed_heartbeats.request(self._connections.get(leader), make_request, timeout_s)
 
-    async def ask_relay(
+    async def forward_commands(
         self, peer: NodeName, make_request: Callable[[int], ForwardedCommands], timeout_s: Seconds
     ) -> CommandsAnswer:
         """Let a relay send commands to a worker, and return their outcome.
--- a/meadowcross/relay/pool.py
+++ b/meadowcross/relay/pool.py
@@ -67,14 +67,14 @@
 class RelayLink(Protocol):
     """The part of the connections between controllers that a leader with relays needs.
 
-    `ask_relay` raises ConnectionFailedError and NoResponseError.
+    `forward_commands` raises ConnectionFailedError and NoResponseError.
     """
 
-    def send_relay(self, message: RelayGrant | ResendRequest, peer: NodeName) -> bool:
+    def send_relay_message(self, message: RelayGrant | ResendRequest, peer: NodeName) -> bool:
         """Send the message without waiting for an answer; return False if the peer is not connected."""
         ...
 
-    async def ask_relay(
+    async def forward_commands(
         self, peer: NodeName, make_request: Callable[[int], ForwardedCommands], timeout_s: Seconds
     ) -> CommandsAnswer:
         """Send the request that `make_request` builds from its number, and return the answer."""
@@ -182,7 +182,7 @@
         granted: dict[NodeName, RelayCapacity] = {}
         for peer in self._peers():
             message = RelayGrant(self._node, self._token, GRANT_DURATION_S)
-            if peer.relay_capacity is not None and self._link.send_relay(message, peer.node):
+            if peer.relay_capacity is not None and self._link.send_relay_message(message, peer.node):
                 granted[peer.node] = RelayCapacity(self._settings.zones.get(peer.node, ""), peer.relay_capacity)
         return granted
 
@@ -266,7 +266,7 @@
             ):
                 machines_to_resend.append(machine.id)
         if machines_to_resend:
-            self._link.send_relay(ResendRequest(self._token, machines_to_resend), renewals.node)
+            self._link.send_relay_message(ResendRequest(self._token, machines_to_resend), renewals.node)
 
     def adopt_workers(self, relayed: RelayedWorkers) -> None:
         """Assign to a relay the workers that it had before this term began; commands to them go through the relay."""
@@ -294,7 +294,7 @@
         return await self._send_through(relay, machine.address, body)
 
     async def _send_through(self, relay: NodeName, address: Address, body: bytes) -> ClientResponse:
-        answer = await self._link.ask_relay(
+        answer = await self._link.forward_commands(
             relay,
             lambda number: ForwardedCommands(number, self._token, address, Raw(body)),
             COMMAND_TIMEOUT_S + LINK_MARGIN_S,
--- a/meadowcross/relay/relay.py
+++ b/meadowcross/relay/relay.py
@@ -46,14 +46,14 @@
 class LeaderLink(Protocol):
     """The part of the connections between controllers that a relay needs.
 
-    `ask_leader` raises ConnectionFailedError and NoResponseError.
+    `forward_heartbeat` raises ConnectionFailedError and NoResponseError.
     """
 
-    def send_relay(self, message: HeartbeatRenewals | RelayedWorkers, peer: NodeName) -> bool:
+    def send_relay_message(self, message: HeartbeatRenewals | RelayedWorkers, peer: NodeName) -> bool:
         """Send the message without waiting for an answer; return False if the peer is not connected."""
         ...
 
-    async def ask_leader(
+    async def forward_heartbeat(
         self, leader: NodeName, make_request: Callable[[int], ForwardedHeartbeat], timeout_s: Seconds
     ) -> HeartbeatAnswer:
         """Send the request that `make_request` builds from its number, and return the answer."""
@@ -137,7 +137,7 @@
     def _announce_workers(self, grant: RelayGrant) -> None:
         machines = list(self._workers)
         for part in _split(machines):
-            self._link().send_relay(RelayedWorkers(self._node, grant.token, part), grant.node)
+            self._link().send_relay_message(RelayedWorkers(self._node, grant.token, part), grant.node)
 
     def on_token_seen(self, token: FencingToken) -> None:
         """Record a token that was received in any message; grants with a lower token are void from now on."""
@@ -184,7 +184,7 @@
         grant = self.active_grant()
         if grant is not None:
             for part in _split(renewals):
-                self._link().send_relay(HeartbeatRenewals(self._node, grant.token, part), grant.node)
+                self._link().send_relay_message(HeartbeatRenewals(self._node, grant.token, part), grant.node)
         self._remove_expired_workers()
 
     def _remove_expired_workers(self) -> None:
@@ -204,7 +204,7 @@
         if grant is None:
             return None
         try:
-            answer = await self._link().ask_leader(
+            answer = await self._link().forward_heartbeat(
                 grant.node,
                 lambda number: ForwardedHeartbeat(number, self._node, grant.token, Raw(body)),
                 FORWARD_TIMEOUT_S,
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -42,11 +42,11 @@
         self.status = 200
         self.failure: Exception | None = None
 
-    def send_relay(self, message, peer):
+    def send_relay_message(self, message, peer):
         self.sent.append(message)
         return True
 
-    async def ask_leader(self, leader, make_request, timeout_s):
+    async def forward_heartbeat(self, leader, make_request, timeout_s):
         assert timeout_s == FORWARD_TIMEOUT_S < 4.0, "a worker waits 4 s"
         self.requests.append(make_request(len(self.requests)))
         if self.failure is not None:
@@ -225,13 +225,13 @@
             0, relay_messages.DeliveryOutcome.ANSWERED, 200, Raw(b"{}")
         )
 
-    def send_relay(self, message, peer):
+    def send_relay_message(self, message, peer):
         if peer in self.unreachable:
             return False
         self.sent.append((peer, message))
         return True
 
-    async def ask_relay(self, peer, make_request, timeout_s):
+    async def forward_commands(self, peer, make_request, timeout_s):
         make_request(1)
         if isinstance(self.answer, Exception):
             raise self.answer
