--- a/meadowcross/controller/peers.py
+++ b/meadowcross/controller/peers.py
@@ -71,7 +71,7 @@
         """Return whether the peer is lost, which means that its process has probably ended."""
         return self.peers.is_lost(peer)
 
-    def workers_arrived_since(self, instant: Instant) -> int:
+    def count_workers_since(self, instant: Instant) -> int:
         """Return the number of workers that sent heartbeats here since `instant`, except those that it relays."""
         return self.workers.count_since(instant)
 
--- a/meadowcross/leadership/failure_detector.py
+++ b/meadowcross/leadership/failure_detector.py
@@ -37,13 +37,13 @@
 MIN_MISSED_WRITES = 5.0
 """Number of expected writes of the leader that must be missing; a working leader misses this many by chance once in
 150 cases."""
-MIN_QUIET_S: Seconds = 0.25
+MIN_WRITE_SILENCE_S: Seconds = 0.25
 """Shortest time without writes that counts as evidence, however many writes are missing."""
 IN_FLIGHT_WRITES_S: Seconds = 0.03
 """Writes that a leader sent before its failure may reach the store for this long afterwards."""
-MIN_WORKERS_ARRIVED = 3
-MIN_SHARE_ARRIVED = 0.02
-"""Share of all machines whose workers must have started to report to this node, at least `MIN_WORKERS_ARRIVED`."""
+MIN_NEW_WORKERS = 3
+MIN_NEW_WORKER_SHARE = 0.02
+"""Share of all machines whose workers must have started to report to this node, at least `MIN_NEW_WORKERS`."""
 FALSE_ALARM_BACKOFF_S: Seconds = 60.0
 """After a false alarm no lease is revoked for this long; the time doubles with each further false alarm."""
 
@@ -59,9 +59,9 @@
     """Number of other peers that report the leader as lost."""
     writes_per_s: float
     """Transactions per second of the leader before its connection was lost."""
-    quiet_s: Seconds
+    write_silence_s: Seconds
     """How long, since the connection was lost, the store is known to have received no writes of a leader."""
-    workers_arrived: int
+    new_worker_count: int
     """Number of workers that started to send heartbeats to this node since the connection was lost."""
     machine_count: int
     """Number of machines in the replica of this node."""
@@ -71,11 +71,11 @@
     """Return why the evidence suffices to treat the leader as failed, or None if it does not."""
     if not evidence.is_refused or evidence.peer_count == 0 or evidence.agreeing_peers < evidence.peer_count:
         return None
-    missed_writes = evidence.writes_per_s * evidence.quiet_s
-    if evidence.quiet_s >= MIN_QUIET_S and missed_writes >= MIN_MISSED_WRITES:
-        return f"no writes for {evidence.quiet_s:.2f} s after {evidence.writes_per_s:.0f} writes per second"
-    if evidence.workers_arrived >= max(MIN_WORKERS_ARRIVED, MIN_SHARE_ARRIVED * evidence.machine_count):
-        return f"{evidence.workers_arrived} workers of the leader report to this node"
+    missed_writes = evidence.writes_per_s * evidence.write_silence_s
+    if evidence.write_silence_s >= MIN_WRITE_SILENCE_S and missed_writes >= MIN_MISSED_WRITES:
+        return f"no writes for {evidence.write_silence_s:.2f} s after {evidence.writes_per_s:.0f} writes per second"
+    if evidence.new_worker_count >= max(MIN_NEW_WORKERS, MIN_NEW_WORKER_SHARE * evidence.machine_count):
+        return f"{evidence.new_worker_count} workers of the leader report to this node"
     return None
 
 
@@ -114,7 +114,7 @@
     def is_lost(self, peer: NodeName) -> bool:
         """Return whether the connection to the peer was closed and its address refuses connections."""
 
-    def workers_arrived_since(self, instant: Instant) -> int:
+    def count_workers_since(self, instant: Instant) -> int:
         """Return how many workers started to report to this node since `instant`, except workers that it relays."""
 
 
@@ -206,7 +206,7 @@
         """
         while self.now - lost_at < self._lease_ttl_s and self._is_still_lost(leader, token):
             await self._follower.poll_now(POLL_INTERVAL_S)
-            reason = failure_reason(self.evidence_against(leader, lost_at, writes_per_s))
+            reason = failure_reason(self.collect_evidence(leader, lost_at, writes_per_s))
             if reason is not None:
                 return reason
             await pause(self._clock, POLL_INTERVAL_S)
@@ -215,7 +215,7 @@
     def _is_still_lost(self, leader: NodeName, token: FencingToken) -> bool:
         return self._election.leader == (leader, token) and self._cluster.is_lost(leader)
 
-    def evidence_against(self, leader: NodeName, lost_at: Instant, writes_per_s: float) -> Evidence:
+    def collect_evidence(self, leader: NodeName, lost_at: Instant, writes_per_s: float) -> Evidence:
         """Return the present evidence about a leader whose connection was lost at `lost_at`."""
         other_heartbeats = [heartbeat for heartbeat in self._cluster.peer_heartbeats() if heartbeat.node != leader]
         return Evidence(
@@ -223,8 +223,8 @@
             peer_count=len(other_heartbeats),
             agreeing_peers=sum(leader in heartbeat.lost_peers for heartbeat in other_heartbeats),
             writes_per_s=writes_per_s,
-            quiet_s=self._follower.leader_silence_s(Instant(lost_at + IN_FLIGHT_WRITES_S)),
-            workers_arrived=self._cluster.workers_arrived_since(lost_at),
+            write_silence_s=self._follower.leader_silence_s(Instant(lost_at + IN_FLIGHT_WRITES_S)),
+            new_worker_count=self._cluster.count_workers_since(lost_at),
             machine_count=self._follower.replica.counts().machines,
         )
 
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -283,21 +283,25 @@
 EVIDENCE = [
     # name, evidence, is the leader considered failed
     ("connections refused, the peer agrees, writes stopped", STRONG_EVIDENCE, True),
-    ("the leader still writes", STRONG_EVIDENCE._replace(quiet_s=0.0), False),
+    ("the leader still writes", STRONG_EVIDENCE._replace(write_silence_s=0.0), False),
     (
         "without writes for less than a few write intervals",
-        STRONG_EVIDENCE._replace(writes_per_s=10.0, quiet_s=0.4),
+        STRONG_EVIDENCE._replace(writes_per_s=10.0, write_silence_s=0.4),
+        False,
+    ),
+    (
+        "idle leader, missing writes are no evidence",
+        STRONG_EVIDENCE._replace(writes_per_s=0.5, write_silence_s=1.5),
         False,
     ),
-    ("idle leader, missing writes are no evidence", STRONG_EVIDENCE._replace(writes_per_s=0.5, quiet_s=1.5), False),
     (
         "idle leader, its workers arrive here",
-        STRONG_EVIDENCE._replace(writes_per_s=0.0, quiet_s=1.0, workers_arrived=10),
+        STRONG_EVIDENCE._replace(writes_per_s=0.0, write_silence_s=1.0, new_worker_count=10),
         True,
     ),
     (
         "idle leader, only two workers arrive",
-        STRONG_EVIDENCE._replace(writes_per_s=0.0, quiet_s=1.0, workers_arrived=2),
+        STRONG_EVIDENCE._replace(writes_per_s=0.0, write_silence_s=1.0, new_worker_count=2),
         False,
     ),
     ("connections hang, as in a partition or a pause", STRONG_EVIDENCE._replace(is_refused=False), False),
@@ -422,7 +426,7 @@
     world = make_lab([])
     for name in world.names:
         node = world.nodes[name]
-        node.failure_detector.evidence_against = lambda leader, lost_at, writes_per_s: STRONG_EVIDENCE
+        node.failure_detector.collect_evidence = lambda leader, lost_at, writes_per_s: STRONG_EVIDENCE
         node.cluster_view.is_lost = lambda leader: True
     world.simulation.run(30.0)
     first = world.leader()
