--- a/meadowcross/controller/peers.py
+++ b/meadowcross/controller/peers.py
@@ -55,7 +55,7 @@
             lost_peers=self.peers.lost_peers(),
             store_epoch=epochs.record.number if epochs.record is not None else None,
             is_epoch_lost=epochs.is_lost(),
-            is_loss_older=epochs.is_loss_older,
+            is_loss_before_replica=epochs.is_loss_before_replica,
             has_history=self.election.has_history,
             highest_token=epochs.highest_token,
             followed_revision=follower.followed_revision() if follower is not None else Revision(0),
@@ -107,7 +107,7 @@
         self._store_epochs.observe_token(max(heartbeat.highest_token, leading_token))
         self._relay.on_token_seen(leading_token)
         if heartbeat.is_epoch_lost and heartbeat.store_epoch is not None:
-            self._store_epochs.on_loss_reported(heartbeat.store_epoch, heartbeat.node, heartbeat.is_loss_older)
+            self._store_epochs.on_loss_reported(heartbeat.store_epoch, heartbeat.node, heartbeat.is_loss_before_replica)
         if heartbeat.leading_token is not None:
             self._on_leader_heartbeat(heartbeat, heartbeat.leading_token)
 
--- a/meadowcross/controller/recovery.py
+++ b/meadowcross/controller/recovery.py
@@ -66,7 +66,7 @@
         """Freeze the replica, step down, and report a proven data loss to the peers."""
         record = self._store_epochs.record
         if self._follower is not None and record is not None:
-            self._follower.freeze(record.number, self._store_epochs.is_loss_older)
+            self._follower.freeze(record.number, self._store_epochs.is_loss_before_replica)
         self._election.step_down(f"the state service has lost data: {reason}")
         self._election.wake()
         self._link.send_heartbeats()
--- a/meadowcross/leadership/messages.py
+++ b/meadowcross/leadership/messages.py
@@ -40,7 +40,7 @@
     """The store epoch that the node has read, or None before it has read one."""
     is_epoch_lost: bool = field(name="era_lost", default=False)
     """Whether the node has proof that the store lost data in `store_epoch`."""
-    is_loss_older: bool = field(name="era_lost_before", default=False)
+    is_loss_before_replica: bool = field(name="era_lost_before", default=False)
     """Whether the data loss is older than everything that the node followed, so that its replica lacks the data too."""
     has_history: bool = field(name="seasoned", default=False)
     """Whether the node has observed a leader since its process started; see `Election.has_history`."""
--- a/meadowcross/leadership/term_recovery.py
+++ b/meadowcross/leadership/term_recovery.py
@@ -44,11 +44,12 @@
         """Whether tasks without a record may still belong to an accepted job whose record was lost."""
         return self._recovery is not None and self._recovery.is_unsettled()
 
-    def report_data_loss(self, reason: str, is_loss_older: bool = False) -> None:
+    def report_data_loss(self, reason: str, is_loss_before_replica: bool = False) -> None:
         """Report proof that the store lost data: a key with a lower revision, though revisions only grow, or an open
-        job that is gone, though only a leader deletes open jobs. `is_loss_older` as in `StoreEpochs.report_loss`."""
+        job that is gone, though only a leader deletes open jobs. `is_loss_before_replica` as in
+        `StoreEpochs.report_loss`."""
         if self._recovery is not None:
-            self._recovery.store_epochs.report_loss(reason, is_loss_older)
+            self._recovery.store_epochs.report_loss(reason, is_loss_before_replica)
 
     def begin_write_back(
         self,
--- a/meadowcross/recovery/collect.py
+++ b/meadowcross/recovery/collect.py
@@ -101,7 +101,7 @@
         self._own_sources = self._local_sources.read()
         # Peers are asked even if a leader's own replica is available: that replica has all that leaders stored, but
         # the last submissions and cancellations at other nodes may be only in the replicas of those nodes.
-        self._peer_replicas.reset(may_ask_peers=not self.store_epochs.is_loss_older)
+        self._peer_replicas.reset(may_ask_peers=not self.store_epochs.is_loss_before_replica)
         await self._peer_replicas.fetch()
         stored_items, revision = await self._store.list_items("", RequestPriority.LEADERSHIP)
         merged = self._merge(stored_items)
@@ -129,7 +129,7 @@
     def _merge(self, stored_items: list[Item]) -> MergedState:
         sources = [*self._own_sources, *self._peer_replicas.sources]
         epochs = self.store_epochs
-        return merge(sources, stored_items, epochs.record_revision, epochs.is_loss_older)
+        return merge(sources, stored_items, epochs.record_revision, epochs.is_loss_before_replica)
 
 
 def build_expected_replica(merged: MergedState, revision: Revision) -> StoreReplica:
--- a/meadowcross/recovery/merge.py
+++ b/meadowcross/recovery/merge.py
@@ -69,17 +69,17 @@
     sources: Iterable[RecoverySource],
     stored_items: Iterable[Item],
     epoch_revision: Revision,
-    is_loss_older: bool = False,
+    is_loss_before_replica: bool = False,
 ) -> MergedState:
     """Merge the sources with the items that the store holds.
 
     `epoch_revision` is the revision of the new epoch's record; items with a higher revision belong to the new epoch.
-    `is_loss_older`: the loss happened before the nodes began to follow the store, and the store has been written to
-    since. Its revisions can't be compared with those of the sources, so all its items are kept.
+    `is_loss_before_replica`: the loss happened before the nodes began to follow the store, and the store has been
+    written to since. Its revisions can't be compared with those of the sources, so all its items are kept.
     """
     newest_first = sorted(sources, key=lambda source: (source.epoch, source.is_complete, source.revision), reverse=True)
     newest_items, base_revision = _merge_sources(newest_first)
-    stored_base = base_revision if newest_first and not is_loss_older else Revision(0)
+    stored_base = base_revision if newest_first and not is_loss_before_replica else Revision(0)
     merged = MergedState(
         is_complete=bool(newest_first) and newest_first[0].is_complete,
         sources=[f"{source.name} (epoch {source.epoch}, revision {source.revision})" for source in newest_first],
--- a/meadowcross/recovery/store_epochs.py
+++ b/meadowcross/recovery/store_epochs.py
@@ -99,7 +99,7 @@
         self.loss_reason = ""
         self.highest_token = FencingToken(0)
         """The highest token received from any worker or peer."""
-        self.is_loss_older = False
+        self.is_loss_before_replica = False
         """Whether the loss happened before this node, or the peer that reported the loss, began to follow the store."""
         self.is_new_cluster = False
         """Whether this node began the first epoch on an empty store, with no sign so far of an earlier cluster."""
@@ -130,15 +130,15 @@
 
     # Detection of a data loss
 
-    def report_loss(self, reason: str, is_loss_older: bool = False) -> None:
+    def report_loss(self, reason: str, is_loss_before_replica: bool = False) -> None:
         """Record a proven data loss: nothing is served or written until a leader begins a new epoch.
 
-        `is_loss_older`: the data was lost before this node followed the store, so its replica has nothing that the
-        store lacks. The call has no effect in the states UNKNOWN and LOST.
+        `is_loss_before_replica`: the data was lost before this node followed the store, so its replica has nothing that
+        the store lacks. The call has no effect in the states UNKNOWN and LOST.
         """
         if self.state not in (EpochState.INTACT, EpochState.RECOVERING):
             return
-        self.state, self.loss_reason, self.is_loss_older = EpochState.LOST, reason, is_loss_older
+        self.state, self.loss_reason, self.is_loss_before_replica = EpochState.LOST, reason, is_loss_before_replica
         log.error("store_data_lost reason=%r", reason)
         self._on_data_loss(reason)
 
@@ -150,10 +150,10 @@
         """Record a token that a worker or a peer sent."""
         self.highest_token = max(self.highest_token, token)
 
-    def on_loss_reported(self, epoch: int, node: str, is_loss_older: bool) -> None:
+    def on_loss_reported(self, epoch: int, node: str, is_loss_before_replica: bool) -> None:
         """Handle a peer's report of a loss; a report about an epoch other than the current one is ignored."""
         if self.record is not None and self.record.number == epoch:
-            self.report_loss(f"{node} reported a data loss", is_loss_older)
+            self.report_loss(f"{node} reported a data loss", is_loss_before_replica)
 
     # Reading the epoch record
 
--- a/meadowcross/replication/follower.py
+++ b/meadowcross/replication/follower.py
@@ -339,15 +339,15 @@
         pre_loss = self.pre_loss_replica
         return pre_loss.known_revision() if pre_loss is not None else self.replica.revision
 
-    def freeze(self, epoch: int, is_loss_older: bool) -> None:
+    def freeze(self, epoch: int, is_loss_before_replica: bool) -> None:
         """Stop following the store, which has lost data in this epoch, and keep the replica unchanged.
 
-        With `is_loss_older` the loss happened before the replica was read, so the replica lacks the lost data and is
-        not kept.
+        With `is_loss_before_replica` the loss happened before the replica was read, so the replica lacks the lost data
+        and is not kept.
         """
         if self.state in (FollowerState.OFF, FollowerState.FROZEN):
             return
-        if is_loss_older:
+        if is_loss_before_replica:
             self._set_state(FollowerState.FROZEN, "the state service lost data before the replica was read")
             return
         is_own_replica = self._is_own_replica()
--- a/tests/leadership/test_cancellation.py
+++ b/tests/leadership/test_cancellation.py
@@ -653,7 +653,7 @@
     world.submit(grazeS=900.0)
     world.pass_time(8.0)
     loss_reasons = []
-    term.recovery.report_data_loss = lambda reason, is_loss_older=False: loss_reasons.append(reason)
+    term.recovery.report_data_loss = lambda reason, is_loss_before_replica=False: loss_reasons.append(reason)
     follower.begin_leading(StoreReplica(), True)
     apply, delayed_events, delayed_batches = term.job_records.apply, [], []
     term.job_records.apply = lambda *event: delayed_events.append(event)
--- a/tests/leadership/test_leader_term.py
+++ b/tests/leadership/test_leader_term.py
@@ -452,7 +452,7 @@
     world.submit(grazeS=900.0)
     world.pass_time(8.0)
     loss_reasons = []
-    term.recovery.report_data_loss = lambda reason, is_loss_older=False: loss_reasons.append(reason)
+    term.recovery.report_data_loss = lambda reason, is_loss_before_replica=False: loss_reasons.append(reason)
     old_record = dict(world.state.keys["j/wk-000001"])
     for worker in world.workers.values():
         worker.obey = lambda calls: None
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -245,7 +245,7 @@
 @pytest.mark.parametrize(("machine_age_s", "is_loss"), [(0.0, False), (3.0, False), (300.0, True)])
 def test_an_empty_store_with_old_machines_is_a_data_loss(world, machine_age_s, is_loss):
     epochs, _, losses = make_store_epochs(world, machine_age_s)
-    assert bool(losses) is is_loss and epochs.is_loss_older is is_loss and not epochs.is_new_cluster
+    assert bool(losses) is is_loss and epochs.is_loss_before_replica is is_loss and not epochs.is_new_cluster
 
 
 @pytest.mark.parametrize("is_loss", [False, True])
