--- a/meadowcross/leadership/heartbeat_handler.py
+++ b/meadowcross/leadership/heartbeat_handler.py
@@ -11,7 +11,7 @@
 from meadowcross.leadership.term_context import TermState
 from meadowcross.relay.pool import RelayPool
 from meadowcross.replication.follower import ReplicaFollower
-from meadowcross.workers.dispatcher import commands_for
+from meadowcross.workers.dispatcher import heartbeat_commands
 from meadowcross.workers.messages import Command, Heartbeat, HeartbeatResponse, Redirect, TaskState
 from meadowcross.workers.registry import StaleTokenError
 
@@ -27,7 +27,7 @@
         self._is_cancel_announced = is_cancel_announced
         self._is_cancelled_by_replica: dict[JobId, bool] = {}
 
-    def list_stops(self, heartbeat: Heartbeat) -> list[Command]:
+    def list_stop_commands(self, heartbeat: Heartbeat) -> list[Command]:
         """Returns commands that stop, without a grace time, those of the heartbeat's tasks whose jobs are cancelled."""
         return [
             Command("stop", task.task, task.attempt, 0.0)
@@ -75,7 +75,7 @@
             # The response renews the worker lease; the status is not applied before the state is loaded.
             if heartbeat.token > token:
                 return None
-            return HeartbeatResponse(token, self._cancellations_before_load.list_stops(heartbeat))
+            return HeartbeatResponse(token, self._cancellations_before_load.list_stop_commands(heartbeat))
         if self._autoscaler.is_deleted(heartbeat.machine):
             return HeartbeatResponse(token, [])
         known_machine = self._worker_registry.machines.get(heartbeat.machine)
@@ -93,9 +93,9 @@
             machine.contact.last_heartbeat_at = self._context.now
             if self._relay_pool is not None and (node := self._relay_pool.assign_relay(machine, relay)) is not None:
                 return Redirect(node)
-        return HeartbeatResponse(token, commands_for(machine, self._job_table) if is_newest else [])
+        return HeartbeatResponse(token, heartbeat_commands(machine, self._job_table) if is_newest else [])
 
-    def is_settled(self, heartbeat: Heartbeat) -> bool:
+    def is_repeatable(self, heartbeat: Heartbeat) -> bool:
         """Whether the same heartbeat, sent again, would get no command and change nothing."""
         machine = self._worker_registry.machines.get(heartbeat.machine)
         return (
--- a/meadowcross/leadership/term.py
+++ b/meadowcross/leadership/term.py
@@ -448,9 +448,9 @@
         """See `HeartbeatHandler.handle`."""
         return self.heartbeat_handler.handle(heartbeat, relay)
 
-    def is_settled(self, heartbeat: Heartbeat) -> bool:
-        """See `HeartbeatHandler.is_settled`."""
-        return self.heartbeat_handler.is_settled(heartbeat)
+    def is_repeatable(self, heartbeat: Heartbeat) -> bool:
+        """See `HeartbeatHandler.is_repeatable`."""
+        return self.heartbeat_handler.is_repeatable(heartbeat)
 
     def apply_announced_cancellations(self, notice: CancellationNotice) -> bool:
         """See `CancellationTracker.apply_announced`."""
--- a/meadowcross/relay/service.py
+++ b/meadowcross/relay/service.py
@@ -38,7 +38,7 @@
         """Handle a heartbeat that was sent directly or forwarded by `relay`; return None if the term has ended."""
         ...
 
-    def is_settled(self, heartbeat: Heartbeat) -> bool:
+    def is_repeatable(self, heartbeat: Heartbeat) -> bool:
         """Whether a repetition of the heartbeat would get no commands and contain nothing new."""
         ...
 
@@ -98,5 +98,5 @@
         if term is None or not isinstance(response, HeartbeatResponse):
             redirect = response or Redirect()
             return HeartbeatAnswer(request.number, HTTP_MISDIRECTED_REQUEST, Raw(encode(redirect)))
-        is_repeatable = not response.commands and term.is_settled(heartbeat)
+        is_repeatable = not response.commands and term.is_repeatable(heartbeat)
         return HeartbeatAnswer(request.number, HTTP_OK, Raw(encode(response)), is_repeatable)
--- a/meadowcross/workers/dispatcher.py
+++ b/meadowcross/workers/dispatcher.py
@@ -41,7 +41,7 @@
 HTTP_OK, HTTP_CONFLICT = 200, 409
 
 
-def commands_for(machine: Machine, job_table: JobTable) -> list[Command]:
+def heartbeat_commands(machine: Machine, job_table: JobTable) -> list[Command]:
     """Return the commands for the response to a heartbeat, according to the newest status of its machine."""
     commands = [
         Command("stop", str(placement.task), placement.attempt, placement.grace_s)
--- a/tests/leadership/test_cancellation.py
+++ b/tests/leadership/test_cancellation.py
@@ -434,7 +434,7 @@
 
 
 def stop_nothing_before_load(monkeypatch):
-    monkeypatch.setattr(CancellationsBeforeLoad, "list_stops", lambda self, heartbeat: [])
+    monkeypatch.setattr(CancellationsBeforeLoad, "list_stop_commands", lambda self, heartbeat: [])
 
 
 def send_stops_once(monkeypatch):
