--- a/meadowcross/leadership/scheduling_view.py
+++ b/meadowcross/leadership/scheduling_view.py
@@ -360,9 +360,9 @@
             if team.name != pending_job.spec.team
         )
 
-    def victims(self, rank: int, guaranteed: bool) -> list[Victim]:
+    def victims(self, rank: int, has_guaranteed_tasks: bool) -> list[Victim]:
         """Returns the tasks that may be stopped at once for tasks of this rank; tasks of the same rank only if
-        `guaranteed`, that is, if a team's guarantee covers some of the tasks to place.
+        `has_guaranteed_tasks`: a team's guarantee covers some of the tasks to place.
 
         Members of gangs are excluded: their whole attempt would be lost."""
         now = self._now
@@ -373,7 +373,7 @@
         for job in self._job_table.jobs.values():
             if not job.placements or job.rank < rank or job.is_gang:
                 continue
-            if job.rank == rank and (not guaranteed or cpus_over_guarantee.get(job.spec.team, 0.0) <= 0):
+            if job.rank == rank and (not has_guaranteed_tasks or cpus_over_guarantee.get(job.spec.team, 0.0) <= 0):
                 continue
             victims += self._victims_of(job, now, is_machine_schedulable)
         mark_borrowed(victims, cpus_over_guarantee)
--- a/meadowcross/placement/preemption.py
+++ b/meadowcross/placement/preemption.py
@@ -56,8 +56,12 @@
     def candidates_of(self, victims: Iterable[Victim]) -> list[Candidate]:
         """Return the machines that the victims run on."""
 
-    def victims(self, rank: int, guaranteed: bool) -> list[Victim]:
-        """Return the tasks that may be stopped for jobs of this rank; tasks of the same rank only if `guaranteed`."""
+    def victims(self, rank: int, has_guaranteed_tasks: bool) -> list[Victim]:
+        """Return the tasks that may be stopped for jobs of this rank.
+
+        Tasks of the same rank may be stopped only if `has_guaranteed_tasks`: a team's guarantee covers some of the
+        tasks to place.
+        """
 
     def may_preempt(self, pending_job: PendingJob) -> bool:
         """Return whether any task is running that might be stopped for the job."""
@@ -121,8 +125,8 @@
         """
         if not self._is_loaded:
             self._is_loaded = True
-            has_guaranteed = any(job.guaranteed_tasks for job in self._pending_jobs)
-            self.victims = self._snapshot.victims(pending_job.rank, has_guaranteed)
+            has_guaranteed_tasks = any(job.guaranteed_tasks for job in self._pending_jobs)
+            self.victims = self._snapshot.victims(pending_job.rank, has_guaranteed_tasks)
             self.candidates = self._snapshot.candidates_of(self.victims)
             self._smallest_cpus_by_rank = find_smallest_cpus_by_rank(self.victims)
         if has_topology_constraints(pending_job.spec) and not self._has_all_candidates:
--- a/tests/placement/test_preemption.py
+++ b/tests/placement/test_preemption.py
@@ -30,7 +30,7 @@
     def candidates_of(self, victims):
         return self._candidates
 
-    def victims(self, rank, guaranteed):
+    def victims(self, rank, has_guaranteed_tasks):
         return self._victims
 
     def may_preempt(self, pending_job):
