--- a/meadowcross/controller/leadership.py
+++ b/meadowcross/controller/leadership.py
@@ -61,7 +61,7 @@
 
     def active(self) -> LeaderTerm | None:
         """Return the term while this node leads, otherwise None."""
-        return self.latest if self.latest is not None and not self.latest.stopped else None
+        return self.latest if self.latest is not None and not self.latest.is_stopped else None
 
     def heartbeat_handler(self) -> HandleHeartbeat | None:
         """Return the handler of workers' heartbeats while this node leads, otherwise None."""
--- a/meadowcross/estimates/estimate_storage.py
+++ b/meadowcross/estimates/estimate_storage.py
@@ -66,7 +66,7 @@
         self._checked_at = clock.seconds()
         self._is_checking = False
         self._is_stopped = False
-        self.loaded = False
+        self.is_loaded = False
         self.writes = 0
         self._loop = LoopingCall(self._on_tick)
         self._loop.clock = clock  # type: ignore[assignment]
@@ -110,7 +110,7 @@
                 self._revisions[item.key] = item.mod_revision
                 self._learned.add_stored(item.key, item.value)
             self._learned.drop_excess_stored()
-            self.loaded = True
+            self.is_loaded = True
             log.info("loaded stored estimates count=%d", len(items))
             self._loop.start(WRITE_INTERVAL_S, now=False)
             return
--- a/meadowcross/leadership/term.py
+++ b/meadowcross/leadership/term.py
@@ -322,12 +322,12 @@
         self.maintenance_loop = MaintenanceLoop(self.state, self.scheduling_view, tasks, self.pass_trigger)
 
     @property
-    def loaded(self) -> bool:
+    def is_loaded(self) -> bool:
         """Whether the stored state is loaded."""
         return self.lifecycle.is_loaded
 
     @property
-    def stopped(self) -> bool:
+    def is_stopped(self) -> bool:
         """Whether the term has ended."""
         return self.lifecycle.is_stopped
 
@@ -462,4 +462,4 @@
 
     def forecast(self, job_id: JobId) -> CompletionForecast | None:
         """Returns when the job will be done; None before the state is loaded, or where run times are not learned."""
-        return self.forecaster.forecast(job_id) if self.forecaster is not None and self.loaded else None
+        return self.forecaster.forecast(job_id) if self.forecaster is not None and self.is_loaded else None
--- a/tests/estimates/test_stored_estimates.py
+++ b/tests/estimates/test_stored_estimates.py
@@ -49,7 +49,7 @@
     before = world.term
     world.election.step_down("for the test")
     world.pass_time(4.0)
-    assert world.term is not before and world.term.loaded
+    assert world.term is not before and world.term.is_loaded
     return world.term
 
 
@@ -70,7 +70,7 @@
     assert 8 < curve.quantile(0.5) < 20, "the guess is 30 s, runs take 12 s"
     second = next_term(world)
     world.pass_time(2.0)
-    assert second.estimators.storage.loaded and second.estimators.decision_estimator.run_time(
+    assert second.estimators.storage.is_loaded and second.estimators.decision_estimator.run_time(
         msgspec.convert(job(), jm.JobSpec)
     ) == pytest.approx(curve.quantile(0.5), rel=0.1)
     run_jobs(world, 2, first=5)
@@ -85,13 +85,13 @@
     world.net.faults = [(f"state:1/kv?under={m.PREFIX}", "refuse")] * 200
     second = next_term(world)
     run_jobs(world, 2, first=4)
-    assert not second.estimators.storage.loaded and stored_sample_count(world) == 3, (
+    assert not second.estimators.storage.is_loaded and stored_sample_count(world) == 3, (
         "a record that was not loaded was overwritten"
     )
     world.net.faults = []
     world.pass_time(50.0)
     # The samples since the takeover and the stored samples are merged, and each counts once.
-    assert second.estimators.storage.loaded and stored_sample_count(world) == 5
+    assert second.estimators.storage.is_loaded and stored_sample_count(world) == 5
 
 
 @pytest.mark.parametrize("fault", ["lose", "late", "refuse"])
@@ -143,7 +143,7 @@
     world.pass_time(40.0)
     count_before = stored_sample_count(world)
     assert [response[0] for response in world.net.deliver_late()] == [409]
-    assert stored_sample_count(world) == count_before and second.estimators.storage.loaded
+    assert stored_sample_count(world) == count_before and second.estimators.storage.is_loaded
 
 
 def test_a_store_outage_loses_no_sample_and_delays_no_placement(world):
--- a/tests/leadership/test_cancellation.py
+++ b/tests/leadership/test_cancellation.py
@@ -214,7 +214,7 @@
 
     def record():
         old_term = lab.nodes[run.leaders[0]].term
-        assert not old_term.stopped
+        assert not old_term.is_stopped
         run.machines_of_old_leader = sum(
             m.contact.last_heartbeat_at > 1053.0 for m in old_term.worker_registry.machines.values() if m.is_up
         )
--- a/tests/leadership/test_election.py
+++ b/tests/leadership/test_election.py
@@ -114,6 +114,6 @@
     run = world.election.run()
     Deferred.fromCoroutine(run)
     world.pass_time(0.5)
-    assert world.term is not None and world.term.loaded
+    assert world.term is not None and world.term.is_loaded
     run.close()
-    assert not world.term.stopped
+    assert not world.term.is_stopped
--- a/tests/leadership/test_leader_term.py
+++ b/tests/leadership/test_leader_term.py
@@ -153,7 +153,7 @@
     world.election.step_down("test")
     world.pass_time(1.0)
     second_term = world.term
-    assert second_term is not first_term and second_term.token > first_term.token and second_term.loaded
+    assert second_term is not first_term and second_term.token > first_term.token and second_term.is_loaded
     world.pass_time(5.0)
     assert {key for w in world.workers.values() for key in w.started} == started_before
     assert all(w.token == second_term.token for w in world.workers.values())
@@ -189,10 +189,10 @@
     world.pass_time(20.0, 0.25)
     worker = next(iter(world.workers.values()))
     assert world.report(worker).token == term.token
-    assert not term.stopped
+    assert not term.is_stopped
     # A higher token in a heartbeat ends the term.
     worker.token = term.token + 1
-    assert world.report(worker) is None and term.stopped
+    assert world.report(worker) is None and term.is_stopped
 
 
 def test_job_that_fails_on_every_machine_is_paused_and_no_machine_is_decommissioned(world):
@@ -403,7 +403,7 @@
     world.election.step_down("for the test")
     world.pass_time(4.0)
     second_term = world.term
-    assert second_term is not first_term and second_term.loaded
+    assert second_term is not first_term and second_term.is_loaded
     for worker in world.workers.values():
         for key in list(worker.tasks):
             worker.end(key)
@@ -443,7 +443,7 @@
     reads = [path for _, path, _ in world.net.calls[calls_before:] if path.startswith("state:1/kv/")]
     assert len(reads) <= (10 if fault == "lose" else 0), reads
     assert all(status == 409 for status, _ in world.net.deliver_late())
-    assert term is world.term and not term.stopped
+    assert term is world.term and not term.is_stopped
 
 
 def test_watch_event_that_is_newer_than_a_read_is_no_data_loss(world):
@@ -482,7 +482,7 @@
     machine_counts: list[int] = []
 
     def record_machine_count() -> None:
-        if world.term is None or not world.term.loaded:
+        if world.term is None or not world.term.is_loaded:
             machine_counts.append(len(world.term.worker_registry.machines) if world.term is not None else 0)
             world.clock.callLater(0.0, record_machine_count)
 
--- a/tests/leadership/test_reachability.py
+++ b/tests/leadership/test_reachability.py
@@ -104,7 +104,7 @@
     world.reporting = False
     world.peers_hear = best_peer_reach
     world.pass_time(7.0, 0.25)
-    assert term.stopped is has_stepped_down
+    assert term.is_stopped is has_stepped_down
     assert world.cloud.deleted == []
     # Other candidates may go first. There are none here, so the leader key stays free for a while.
     assert (world.state.value("lead") is None) is has_stepped_down
@@ -121,9 +121,9 @@
     world.peers_hear = None
     world.pass_time(30.0, 0.25)
     second_term = world.term
-    assert len(world.terms) == 2 and not second_term.stopped
+    assert len(world.terms) == 2 and not second_term.is_stopped
     world.pass_time(30.0, 0.25)
-    assert world.term is second_term and not second_term.stopped
+    assert world.term is second_term and not second_term.is_stopped
 
 
 def test_leader_deletes_no_machine_after_its_process_was_suspended(world):
@@ -133,7 +133,7 @@
     world.state.holds = {lease: (expires_at + 80.0, ttl) for lease, (expires_at, ttl) in world.state.holds.items()}
     world.clock.advance(70.0)
     world.pass_time(4.0)
-    assert not term.stopped and world.cloud.deleted == []
+    assert not term.is_stopped and world.cloud.deleted == []
     assert len(world.running()) == 8
 
 
@@ -147,7 +147,7 @@
     world.pass_time(4.0, 0.25)
     request_count = len(world.cloud.requests)
     world.pass_time(60.0, 0.5)
-    assert not term.stopped
+    assert not term.is_stopped
     assert world.cloud.deleted == [] and len(world.cloud.requests) == request_count
     world.state.outage = False
     world.pass_time(30.0, 0.5)
@@ -163,4 +163,4 @@
         del world.net.hosts[worker.machine["addr"]]
     world.reporting = False
     world.pass_time(silent_s, 0.5)
-    assert bool(world.cloud.deleted) is is_deleted and not term.stopped
+    assert bool(world.cloud.deleted) is is_deleted and not term.is_stopped
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -480,7 +480,7 @@
     world = make_lab([{"kind": "node_kill", "at_s": 30.0, "node": "leader"}])
     world.simulation.run(29.9)
     for node in world.nodes.values():
-        if node.term is None or node.term.stopped:
+        if node.term is None or node.term.is_stopped:
             begin_term = node.term_manager.begin_term
 
             def begin_with_wrong_hints(token, node=node, begin_term=begin_term):
--- a/tests/simulation/test_isolation_and_starvation.py
+++ b/tests/simulation/test_isolation_and_starvation.py
@@ -41,7 +41,7 @@
     old = node.term
     world.simulation.run(26.0)
     assert world.leader() not in (None, name)
-    assert old.stopped, "a report with the next leader's token ends it, though neither store nor peers can tell"
+    assert old.is_stopped, "a report with the next leader's token ends it, though neither store nor peers can tell"
     assert ready(node) == 503
     new = world.nodes[world.leader()].term
     assert sum(m.contact.last_heartbeat_at is not None for m in new.worker_registry.machines.values()) == len(
@@ -122,7 +122,7 @@
     def release_unreached(term):
         for machine in list(term.worker_registry.machines.values()):
             is_away = machine.contact.unresponsive_since is not None or term.scheduling_view.is_silent(machine)
-            for placement in list(machine.placements.values()) if is_away and term.loaded else []:
+            for placement in list(machine.placements.values()) if is_away and term.is_loaded else []:
                 spec = term.job_table.jobs[placement.task.job].spec
                 term.worker_registry.unassign(placement, spec, term.context.now)
                 term.job_table.release(placement)
--- a/tests/simulation/test_overlapping_failures.py
+++ b/tests/simulation/test_overlapping_failures.py
@@ -230,7 +230,7 @@
 
 def heard_and_not_reached(meeting):
     term = meeting.lab.nodes[meeting.lab.leader()].term
-    assert len(meeting.lab.takeovers) >= 2 and term.loaded
+    assert len(meeting.lab.takeovers) >= 2 and term.is_loaded
     assert sum(machine.session == 1 and machine.token == term.token for machine in meeting.lab.machines.values()) >= 6
 
 
--- a/tests/simulation/test_scenarios.py
+++ b/tests/simulation/test_scenarios.py
@@ -69,7 +69,7 @@
 
     def release_silent(term):
         for machine in list(term.worker_registry.machines.values()):
-            if term.loaded and machine.is_up and term.scheduling_view.silence_s(machine) > 6.0:
+            if term.is_loaded and machine.is_up and term.scheduling_view.silence_s(machine) > 6.0:
                 for placement in list(machine.placements.values()):
                     job = term.job_table.jobs[placement.task.job]
                     term.worker_registry.unassign(placement, job.spec, term.context.now)
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -129,7 +129,7 @@
         self.election = make_election(self.clock, self.store, "n0", life, self.begin)
         Deferred.fromCoroutine(self.election.run())
         self.pass_time(0.5)
-        assert self.term is not None and self.term.loaded
+        assert self.term is not None and self.term.is_loaded
         return self.term
 
     def api(self, peers: PeerQueries | None = None, events: JobEvents | None = None) -> JobApi:
@@ -153,7 +153,7 @@
                     self.report(worker)
 
     def report(self, worker: Worker) -> Any:
-        if self.term is None or self.term.stopped:
+        if self.term is None or self.term.is_stopped:
             return None
         response = self.term.handle_heartbeat(decode_heartbeat(encode(worker.report())))
         if response is not None:
