--- a/meadowcross/autoscaling/autoscaler.py
+++ b/meadowcross/autoscaling/autoscaler.py
@@ -122,7 +122,7 @@
         """Record the boot time of a machine that has sent its first heartbeat to any leader."""
         if machine.machine_type is not None:
             now = self._context.now
-            self.boot_times.record_boot(machine.machine_type, now - machine.rented_at, now)
+            self.boot_times.record_boot(machine.machine_type, now - machine.created_at, now)
 
     def on_new_work(self) -> None:
         """Schedule a scale-out for a new job before the next tick."""
--- a/meadowcross/autoscaling/incoming_capacity.py
+++ b/meadowcross/autoscaling/incoming_capacity.py
@@ -129,7 +129,7 @@
             if machine.is_up:
                 if not is_usable(machine):
                     continue
-            elif self._now - machine.rented_at > overdue_after_s[machine_type.name]:
+            elif self._now - machine.created_at > overdue_after_s[machine_type.name]:
                 # The machine may still come up, but a machine created now is likely to come up sooner.
                 continue
             capacity = IncomingCapacity(
@@ -155,7 +155,7 @@
         waiting_s: dict[str, list[Seconds]] = {name: [] for name in self._machine_types}
         for machine in machines:
             if not machine.is_up and machine.machine_type is not None:
-                waiting_s[machine.machine_type.name].append(self._now - machine.rented_at)
+                waiting_s[machine.machine_type.name].append(self._now - machine.created_at)
         return {
             name: self._boot_times.overdue_after_s(machine_type, waiting_s[name], self._now)
             for name, machine_type in self._machine_types.items()
--- a/meadowcross/autoscaling/machine_checks.py
+++ b/meadowcross/autoscaling/machine_checks.py
@@ -111,7 +111,7 @@
         timeout_s = UNKNOWN_TYPE_BOOT_TIMEOUT_S
         if machine.machine_type:
             timeout_s = self._context.boot_times.boot_timeout_s(machine.machine_type, now)
-        waited_s = now - max(machine.rented_at, Instant(0.0))
+        waited_s = now - max(machine.created_at, Instant(0.0))
         is_overdue = waited_s > timeout_s + 2 * self._context.facts.cloud.list_lag_s
         if is_overdue and now - self._context.started_at > MIN_TERM_AGE_S:
             self._decommissioner.decommission(machine, f"not up {waited_s:.0f} s after its creation")
--- a/meadowcross/autoscaling/machine_list.py
+++ b/meadowcross/autoscaling/machine_list.py
@@ -60,9 +60,9 @@
         for listed_machine in machines:
             listed_ids.add(listed_machine.id)
             known_machine = self._context.machines().get(listed_machine.id)
-            if known_machine is not None and known_machine.is_rental_time_known:
+            if known_machine is not None and known_machine.is_creation_time_known:
                 # The creation time of the machine and its age in the list give the instant that the list describes.
-                described_at = Instant(max(described_at or 0.0, known_machine.rented_at + listed_machine.age_s))
+                described_at = Instant(max(described_at or 0.0, known_machine.created_at + listed_machine.age_s))
             if not self._decommissioner.is_deleted(listed_machine.id):
                 self._apply_machine(listed_machine, now)
         self._context.host.on_cloud_list(described_at)
@@ -76,7 +76,7 @@
         if is_new:
             # It was created for an earlier leader, or by a request executed late; it is used, or deleted when idle.
             log.info("unknown machine listed machine=%s state=%s", listed_machine.id, listed_machine.state)
-            machine.rented_at = Instant(now - listed_machine.age_s)
+            machine.created_at = Instant(now - listed_machine.age_s)
         if listed_machine.addr is not None and machine.address is None and listed_machine.state == STATE_RUNNING:
             machine.address = listed_machine.addr
             host.dispatcher.probe(machine.id)
--- a/meadowcross/autoscaling/scale_in.py
+++ b/meadowcross/autoscaling/scale_in.py
@@ -121,7 +121,7 @@
         if not machine.is_draining or machine.kind not in self._demand.expensive_kinds:
             timeout_s = self._idle_timeout_s(machine)
         may_decommission = machine.is_draining or not self._demand.demands
-        if may_decommission and idle_s >= timeout_s and now - machine.rented_at >= MIN_CHARGE_S:
+        if may_decommission and idle_s >= timeout_s and now - machine.created_at >= MIN_CHARGE_S:
             self._decommissioner.decommission(machine, f"idle for {idle_s:.0f} s")
 
     def _idle_timeout_s(self, machine: Machine) -> Seconds:
--- a/meadowcross/leadership/cancellation_tracker.py
+++ b/meadowcross/leadership/cancellation_tracker.py
@@ -140,7 +140,7 @@
         return all(
             (
                 (machine.proof.has_confirmed_token and (machine.contact.last_status_at or 0.0) > known_since)
-                or machine.rented_at > self._context.started_at
+                or machine.created_at > self._context.started_at
             )
             and not any(
                 TaskId.parse(task.task).job == job_id for task in (*machine.reported.orphaned, *machine.reported.stale)
--- a/meadowcross/leadership/completion_forecaster.py
+++ b/meadowcross/leadership/completion_forecaster.py
@@ -95,7 +95,7 @@
                 self.machines_up[machine.kind] += 1
             else:
                 boot_s = self.expected_boot_s(machine.machine_type)
-                left_s = max(0.0, boot_s - (self.taken_at - machine.rented_at))
+                left_s = max(0.0, boot_s - (self.taken_at - machine.created_at))
                 self.remaining_boot_s[machine.kind] = min(left_s, self.remaining_boot_s.get(machine.kind, left_s))
         return cpus
 
--- a/meadowcross/leadership/machine_records.py
+++ b/meadowcross/leadership/machine_records.py
@@ -46,7 +46,7 @@
             if machine.id not in self._worker_registry.machines or not machine.kind.type:
                 return None
             kind = machine.kind
-            record = MachineRecord(kind.type, kind.zone, kind.spot, WallTime(machine.rented_at), machine.address)
+            record = MachineRecord(kind.type, kind.zone, kind.spot, WallTime(machine.created_at), machine.address)
             return Write([], [Put(machine_key(machine.id), encode_raw(record))], on_stored)
 
         def on_stored(_revision: Revision) -> None:
--- a/meadowcross/leadership/state_loader.py
+++ b/meadowcross/leadership/state_loader.py
@@ -143,8 +143,8 @@
         kind = MachineKind(record.type, record.zone, record.spot)
         machine = self._machine_records.add_machine(MachineId(item.key.removeprefix(MACHINE_KEY_PREFIX)), kind)
         machine.address = record.addr
-        machine.rented_at = Instant(min(now, record.created_at))
-        machine.is_rental_time_known = True
+        machine.created_at = Instant(min(now, record.created_at))
+        machine.is_creation_time_known = True
         machine.is_stored = True
 
     def _load_chunk(self, item: Item, now: Instant) -> None:
--- a/meadowcross/workers/machine.py
+++ b/meadowcross/workers/machine.py
@@ -173,20 +173,20 @@
         "address",
         "change_count",
         "contact",
+        "created_at",
         "decommission_reason",
         "id",
         "idle_since",
         "images",
+        "is_creation_time_known",
         "is_decommissioned_for_silence",
         "is_draining",
-        "is_rental_time_known",
         "is_stored",
         "kind",
         "machine_type",
         "placements",
         "proof",
         "reclaim_at",
-        "rented_at",
         "reported",
         "usage",
     )
@@ -206,9 +206,9 @@
         self.change_count = 0
         """Number of placements that were added, removed or began to run so far. Values derived from the placements
         stay valid while it is the same."""
-        self.rented_at = now
-        self.is_rental_time_known = False
-        """Whether `rented_at` is from the stored record; otherwise it is when the leader first saw the machine."""
+        self.created_at = now
+        self.is_creation_time_known = False
+        """Whether `created_at` is from the stored record; otherwise it is when the leader first saw the machine."""
         self.idle_since = now
         self.reclaim_at: Instant | None = None
         """When the cloud reclaims the machine, according to its eviction notice; None without a notice."""
