--- a/meadowcross/autoscaling/autoscaler.py
+++ b/meadowcross/autoscaling/autoscaler.py
@@ -124,9 +124,9 @@
             now = self._context.now
             self.boot_times.record_boot(machine.machine_type, now - machine.created_at, now)
 
-    def on_new_work(self) -> None:
+    def on_new_job(self) -> None:
         """Schedule a scale-out for a new job before the next tick."""
-        self._scale_out.on_new_work()
+        self._scale_out.on_new_job()
 
     def decommission(self, machine: Machine, reason: str) -> None:
         """Take the machine out of use and delete it; the deletion proves that its tasks are gone."""
--- a/meadowcross/autoscaling/scale_out.py
+++ b/meadowcross/autoscaling/scale_out.py
@@ -24,9 +24,9 @@
 
 START_DELAY_S: Seconds = 1.0
 """Machines that an earlier leader created but did not store report within this time."""
-NEW_WORK_DELAY_S: Seconds = 0.1
+NEW_JOB_DELAY_S: Seconds = 0.1
 """Shortest time from a new job to the scale-out for it."""
-NEW_WORK_PAUSE_FACTOR = 9.0
+NEW_JOB_PAUSE_FACTOR = 9.0
 """Pause before a scale-out for new jobs, as a multiple of the last one's duration: many jobs may come per second."""
 UNAVAILABLE_S: Seconds = 12.0
 """How long a kind without capacity is not requested."""
@@ -67,14 +67,14 @@
         delay_s = START_DELAY_S if self._context.machines() else 0.0
         self._earliest_run_at = Instant(self._context.now + delay_s)
 
-    def on_new_work(self) -> None:
+    def on_new_job(self) -> None:
         """Schedule a scale-out for a new job, which may run before the next tick."""
         if not self._is_scheduled and self._context.is_running:
             self._is_scheduled = True
-            delay_s = max(NEW_WORK_DELAY_S, NEW_WORK_PAUSE_FACTOR * self._last_run_s)
-            self._context.clock.callLater(delay_s, self._run_for_new_work)
+            delay_s = max(NEW_JOB_DELAY_S, NEW_JOB_PAUSE_FACTOR * self._last_run_s)
+            self._context.clock.callLater(delay_s, self._run_for_new_job)
 
-    def _run_for_new_work(self) -> None:
+    def _run_for_new_job(self) -> None:
         self._is_scheduled = False
         if not self._context.is_running or not self._context.host.has_valid_lease():
             return
--- a/meadowcross/leadership/job_records.py
+++ b/meadowcross/leadership/job_records.py
@@ -78,7 +78,7 @@
         if cancelled_at is not None:
             self._cancellation_tracker.apply_cancellation(job, cancelled_at)
         elif self._lifecycle.is_loaded:
-            self._autoscaler.on_new_work()
+            self._autoscaler.on_new_job()
             self._pass_trigger.schedule_pass()
 
 
