--- a/meadowcross/controller/recovery.py
+++ b/meadowcross/controller/recovery.py
@@ -189,7 +189,7 @@
             has_store=self._link.status.has_peer_with_store,
             forward=self._link.forward,
             leader_forwarder=self.leader_forwarder,
-            ask_peer_with_history=self.ask_peer_with_history,
+            query_peer_with_history=self.query_peer_with_history,
             has_unknown_leader=self.has_unknown_leader,
         )
 
@@ -198,7 +198,7 @@
         leader = self._leaders.known_leader()
         return self._store_epochs.highest_token > (leader[1] if leader is not None else FencingToken(0))
 
-    async def ask_peer_with_history(self, job: JobId) -> ServerResponse | None:
+    async def query_peer_with_history(self, job: JobId) -> ServerResponse | None:
         """Forward a query for a job without a record to a peer with a longer history.
 
         Returns None if this node has followed the store for long enough itself, if there is no such peer, or if the
--- a/meadowcross/jobs/api.py
+++ b/meadowcross/jobs/api.py
@@ -227,10 +227,10 @@
         response = await self._describe_job(job)
         if response is not None:
             return response
-        peer_response = await self._peers.ask_peer_with_history(job)
+        peer_response = await self._peers.query_peer_with_history(job)
         if peer_response is not None and peer_response.status == 200:
             return peer_response
-        if self._integrity.is_job_proven(job):
+        if self._integrity.has_reported_tasks(job):
             # The submission record is lost, but workers had tasks of the job: it exists, and its end is not proven.
             return job_response(job, JobState.RUNNING, 0, 0)
         return self._unknown_job_response()
@@ -282,7 +282,7 @@
         """Cancel the job in its present state; return None if the job changed meanwhile, to be tried again."""
         lookup_result = await self._reader.find(job)
         if lookup_result is None:
-            if not self._integrity.is_job_proven(job):
+            if not self._integrity.has_reported_tasks(job):
                 return self._unknown_job_response()
             try:
                 return await self._cancel_unrecorded(job, deadline_at)
--- a/meadowcross/jobs/collaborators.py
+++ b/meadowcross/jobs/collaborators.py
@@ -32,7 +32,7 @@
     def may_unknown_job_exist(self) -> bool:
         """Whether a job without a record in the store may still have been accepted."""
 
-    def is_job_proven(self, job: str, /) -> bool:
+    def has_reported_tasks(self, job: str, /) -> bool:
         """Whether workers reported tasks of a job whose submission record is lost."""
 
 
@@ -51,7 +51,7 @@
         """Return False."""
         return False
 
-    def is_job_proven(self, _job: str, /) -> bool:
+    def has_reported_tasks(self, _job: str, /) -> bool:
         """Return False."""
         return False
 
@@ -72,7 +72,7 @@
     """Forwards a request to a peer that has access to the store."""
     leader_forwarder: Callable[[], RequestForwarder | None] = lambda: None
     """Returns the forwarder to the leader while only the leader has all ended jobs; None otherwise."""
-    ask_peer_with_history: Callable[[JobId], Awaitable[ServerResponse | None]] = _no_response
+    query_peer_with_history: Callable[[JobId], Awaitable[ServerResponse | None]] = _no_response
     """Queries a peer that has followed the store for longer, for a job without a record in the store."""
     has_unknown_leader: Callable[[], bool] = lambda: False
     """Whether a worker has reported the token of a leader that is unknown here. That leader was elected through the
--- a/meadowcross/recovery/store_epochs.py
+++ b/meadowcross/recovery/store_epochs.py
@@ -368,6 +368,6 @@
             return self._clock.seconds() < progress.settling_until
         return self.is_new_cluster or self.stage is not None
 
-    def is_job_proven(self, job: str) -> bool:
+    def has_reported_tasks(self, job: str) -> bool:
         """Return whether the job's submission is lost, but tasks on machines prove that it was accepted."""
         return self.progress is not None and job in self.progress.proven_jobs
