--- a/meadowcross/common/http.py
+++ b/meadowcross/common/http.py
@@ -23,7 +23,7 @@
 
 log = get_logger("common")
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 """Limit for the body of a request, in bytes."""
 MAX_DISCARDED_BODY_BYTES = 1024 * 1024
 """Bytes of an oversized body that the server reads and discards before it closes the connection."""
@@ -225,7 +225,7 @@
 
 
 class ApiRequest(http.Request):
-    """A request that the handler of its route responds to. Bodies are limited to MAX_BODY bytes."""
+    """A request that the handler of its route responds to. Bodies are limited to MAX_BODY_BYTES."""
 
     router: Router
     guard: RequestGuard | None = None
@@ -239,7 +239,7 @@
 
     def gotLength(self, length: int | None) -> None:
         """Reject a body whose announced length exceeds the limit."""
-        if length is not None and length > MAX_BODY:
+        if length is not None and length > MAX_BODY_BYTES:
             self._reject_body()
             length = 0
         super().gotLength(length)
@@ -251,7 +251,7 @@
             if self.discarded_bytes > MAX_DISCARDED_BODY_BYTES and self.channel is not None:
                 self.channel.loseConnection()
             return
-        if self.content is not None and self.content.tell() + len(data) > MAX_BODY:
+        if self.content is not None and self.content.tell() + len(data) > MAX_BODY_BYTES:
             self._reject_body()
             return
         super().handleContentChunk(data)
@@ -264,7 +264,7 @@
         self.is_body_too_large = True
         self.clientproto = b"HTTP/1.1"
         self.setHeader(b"connection", b"close")
-        self._write_response(error_response(413, f"a body holds at most {MAX_BODY} bytes"))
+        self._write_response(error_response(413, f"a body holds at most {MAX_BODY_BYTES} bytes"))
 
     def process(self) -> None:
         """Run the guard and the handler for a request that has arrived completely."""
--- a/meadowcross/controller/assembly.py
+++ b/meadowcross/controller/assembly.py
@@ -43,7 +43,7 @@
 from meadowcross.replication.hints import HintSubscriber
 from meadowcross.replication.messages import FullHintsRequest
 from meadowcross.workers.api import WorkerApi
-from meadowcross.workers.heartbeat_tracker import HeartbeatTracker, silence_window
+from meadowcross.workers.heartbeat_tracker import HeartbeatTracker, silence_window_s
 
 DEFAULT_MEMORY_MB = 256.0
 """Memory limit of the process that is assumed if the platform's settings have none."""
@@ -172,7 +172,7 @@
         services.operator.hold_s,
         EpochTokens(services.store, store_view.store_epochs, link.status),
     )
-    workers = HeartbeatTracker(reactor, silence_window(settings.facts.workers.report_s))
+    workers = HeartbeatTracker(reactor, silence_window_s(settings.facts.workers.report_s))
     view = ClusterView(
         services=services,
         election=election,
--- a/meadowcross/leadership/scheduling_view.py
+++ b/meadowcross/leadership/scheduling_view.py
@@ -23,7 +23,7 @@
 from meadowcross.placement.scoring import SLOW_FETCH_S
 from meadowcross.placement.victims import Victim, mark_borrowed
 from meadowcross.workers.health import FailureTracker
-from meadowcross.workers.heartbeat_tracker import silence_window
+from meadowcross.workers.heartbeat_tracker import silence_window_s
 from meadowcross.workers.machine import Machine
 from meadowcross.workers.registry import WorkerRegistry
 
@@ -83,7 +83,7 @@
         self._run_time_estimator = run_time_estimator
         self._teams = {team.name: team for team in facts.teams}
         self._objectives = ServiceLevelObjectives(facts.objectives)
-        self._contact_window_s = silence_window(facts.workers.report_s)
+        self._contact_window_s = silence_window_s(facts.workers.report_s)
         self._resumed_at = Instant(0.0)
 
     @property
--- a/meadowcross/relay/pool.py
+++ b/meadowcross/relay/pool.py
@@ -30,7 +30,7 @@
 from meadowcross.relay.relay import RENEWAL_INTERVAL_S
 from meadowcross.store.token_bucket import TokenBucket
 from meadowcross.workers.dispatcher import COMMAND_TIMEOUT_S, SendCommands
-from meadowcross.workers.heartbeat_tracker import silence_window
+from meadowcross.workers.heartbeat_tracker import silence_window_s
 from meadowcross.workers.machine import Machine
 from meadowcross.workers.registry import WorkerRegistry
 
@@ -137,7 +137,7 @@
         self._send_by_persistent_client = direct_sender(clients.persistent)
         self._send_by_short_lived_client = direct_sender(clients.short_lived)
         self._settings = settings
-        self._silence_window_s = silence_window(settings.report_s) + RENEWAL_INTERVAL_S
+        self._silence_window_s = silence_window_s(settings.report_s) + RENEWAL_INTERVAL_S
         self._failover_s = 1.25 * settings.report_s + WORKER_RESPONSE_TIMEOUT_S + WORKER_RETRY_DELAY_S
         """The longest time that a worker needs to reach another node."""
         self._min_grace_s = max(0.0, self._failover_s + CHECK_INTERVAL_S - settings.silent_s)
--- a/meadowcross/workers/heartbeat_tracker.py
+++ b/meadowcross/workers/heartbeat_tracker.py
@@ -11,7 +11,7 @@
 """Number of windows for which a machine's newest heartbeat version is kept, to recognise late copies of heartbeats."""
 
 
-def silence_window(report_s: Seconds) -> Seconds:
+def silence_window_s(report_s: Seconds) -> Seconds:
     """Return the seconds without a heartbeat after which a worker counts as silent: an interval, jitter and delay."""
     return 1.25 * report_s + 1.0
 
--- a/tests/jobs/test_api.py
+++ b/tests/jobs/test_api.py
@@ -11,7 +11,7 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from meadowcross.common.http import MAX_BODY, Router, ServerResponse, build_api_factory
+from meadowcross.common.http import MAX_BODY_BYTES, Router, ServerResponse, build_api_factory
 from meadowcross.common.types import FencingToken, NodeName
 from meadowcross.jobs.api import MAX_OPEN_REQUESTS
 from meadowcross.jobs.collaborators import JobEvents, PeerQueries
@@ -251,10 +251,10 @@
     link, server = connect_links(world, serve, {"wk-000001": JobProgress(3, 2, (1.0, 2.0, 3.0))})
     status = link.status
     # The largest accepted body, of characters that JSON escapes.
-    body = b'"' * MAX_BODY
+    body = b'"' * MAX_BODY_BYTES
     assert world.run(link.forward("submit", "", body)) == ServerResponse(200, b'{"x":"\\u00e9"}\n')
     assert world.run(link.forward("cancel", "wk-000001", b"")).retry_after == 1
-    assert served == [("submit", "", MAX_BODY), ("cancel", "wk-000001", 0)]
+    assert served == [("submit", "", MAX_BODY_BYTES), ("cancel", "wk-000001", 0)]
     assert (status.has_peer_with_store(), status.max_reporting_workers(), status.reported_leader()) == (
         True,
         5,
