--- a/meadowcross/autoscaling/cloud.py
+++ b/meadowcross/autoscaling/cloud.py
@@ -143,7 +143,7 @@
         except NoResponseError as error:
             raise CloudError(path, error) from error
         if response.status == HTTP_TOO_MANY_REQUESTS:
-            self._rate_limiter.drain()
+            self._rate_limiter.discard_tokens()
         return response
 
 
--- a/meadowcross/leadership/autoscaler_host.py
+++ b/meadowcross/leadership/autoscaler_host.py
@@ -52,7 +52,7 @@
             self._release_lost_task(placement, machine_id, last_contact_at)
         self._verification.on_machine_verified(machine_id)
         if self._relay_pool is not None:
-            self._relay_pool.forget(machine_id)
+            self._relay_pool.remove_machine(machine_id)
         self._health.forget_machine(machine_id)
         self._placement_writer.job_writer.enqueue_delete(machine_key(machine_id))
         self._pass_trigger.schedule_pass()
--- a/meadowcross/relay/pool.py
+++ b/meadowcross/relay/pool.py
@@ -275,7 +275,7 @@
                 if self.assignment.relay_of(machine) is None:
                     self.assignment.assign(machine, relayed.node)
 
-    def forget(self, machine: MachineId) -> None:
+    def remove_machine(self, machine: MachineId) -> None:
         """Remove a deleted machine from the assignment."""
         self.assignment.remove_worker(machine)
 
--- a/meadowcross/store/token_bucket.py
+++ b/meadowcross/store/token_bucket.py
@@ -103,7 +103,7 @@
             self._schedule_wakeup()
         return ready
 
-    def drain(self) -> None:
+    def discard_tokens(self) -> None:
         """Discard the available tokens, because the service has reported that its limit is exhausted."""
         with self._lock:
             self._refill()
@@ -111,7 +111,7 @@
 
     def back_off(self) -> None:
         """Discard the available tokens and reduce the rate for a while, for a limit that is shared with other nodes."""
-        self.drain()
+        self.discard_tokens()
         with self._lock:
             self._rate_factor = max(MIN_RATE_FACTOR, self._rate_factor * BACK_OFF_FACTOR)
 
