--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -22,7 +22,7 @@
 from meadowcross.store.token_bucket import RequestPriority
 from simulation.scenario import Fault, load
 from simulation.world import Lab
-from tests.replication.test_replication import follow, write
+from tests.replication.test_replication import start_follower, write_key
 from tests.simulation.test_scenarios import EXAMPLES
 
 # Tokens
@@ -280,7 +280,7 @@
 
 AUDITS = [
     # name, change before the audit reads the key, change between the read and the poll, expected part of the reason
-    ("key written between read and poll", lambda w: None, lambda w: write(w, "t/a/00000"), None),
+    ("key written between read and poll", lambda w: None, lambda w: write_key(w, "t/a/00000"), None),
     ("key deleted", lambda w: w.state.transact({"if": [], "writes": [{"drop": "t/a/00000"}]}), None, None),
     ("key missing without a deletion", lambda w: w.state.keys.pop("t/a/00000"), None, "is missing without a deletion"),
     ("older revision", lambda w: w.state.keys["t/a/00000"].update(mark=1), None, "is outdated: expected revision"),
@@ -294,8 +294,8 @@
 )
 def test_an_audit_distinguishes_a_loss_from_a_change(world, change_before_read, change_after_read, expected_reason):
     epochs, store, losses = make_store_epochs(world)
-    write(world, "t/a/00000")
-    follower = follow(world)
+    write_key(world, "t/a/00000")
+    follower = start_follower(world)
     auditor = StoreAuditor(world.clock, store, epochs, follower, lambda: True)
     change_before_read(world)
     get = store.get
@@ -407,7 +407,7 @@
     assert (
         epochs.state is EpochState.RECOVERING and not losses and store_epoch_of(epochs.token_for_key(Revision(9))) == 2
     )
-    write(world, "lead")
+    write_key(world, "lead")
     assert world.run(restore(store, snapshot)).check(ConflictError)
 
 
--- a/tests/replication/test_replication.py
+++ b/tests/replication/test_replication.py
@@ -74,7 +74,7 @@
     assert replica.counts_at(Revision(9)) is None
 
 
-def follow(world, max_bytes=10**9, settle_s=1.0):
+def start_follower(world, max_bytes=10**9, settle_s=1.0):
     """Start a follower of the world's store, and return it after `settle_s` seconds of simulated time."""
     store = StoreClient(world.clock, world.net, "state:1", world.settings.facts.state)
     follower = ReplicaFollower(world.clock, store, max_bytes)
@@ -83,7 +83,7 @@
     return follower
 
 
-def write(world, key, value=1, condition=None):
+def write_key(world, key, value=1, condition=None):
     """Write a key directly into the store; with `condition`, only if the key is at that revision."""
     conditions = [{"key": key, "mark": condition}] if condition is not None else []
     world.state.transact({"if": conditions, "writes": [{"write": key, "data": value}]})
@@ -98,12 +98,12 @@
 
 def test_follower_reads_once_then_polls_at_a_bounded_rate(world):
     for number in range(5):
-        write(world, f"e/{number}")
-    follower = follow(world)
+        write_key(world, f"e/{number}")
+    follower = start_follower(world)
     assert follower.is_in_sync and matches_store(world, follower)
     call_count_before = len(world.net.calls)
     for number in range(40):
-        write(world, f"t/{number}")
+        write_key(world, f"t/{number}")
         world.pass_time(0.1)
     world.pass_time(0.5)
     assert matches_store(world, follower) and follower.replica.revision == world.state.revision
@@ -112,24 +112,24 @@
 
 
 def test_follower_reads_again_after_compaction_and_turns_off_above_its_size_limit(world):
-    follower = follow(world)
-    write(world, "j/a")
+    follower = start_follower(world)
+    write_key(world, "j/a")
     world.pass_time(6.0)
     world.state.forgotten = world.state.revision + 5
     world.state.revision += 10
-    write(world, "j/b")
+    write_key(world, "j/b")
     world.pass_time(7.0)
     assert follower.is_in_sync and matches_store(world, follower) and follower.resync_count == 1
-    small_follower = follow(world, 100)
+    small_follower = start_follower(world, 100)
     assert small_follower.state is FollowerState.OFF and not list(small_follower.replica.all_items())
 
 
 def test_follower_needs_no_new_read_after_an_outage_and_a_refused_watch(world):
-    follower = follow(world)
+    follower = start_follower(world)
     world.state.outage = True
     world.pass_time(20.0, 0.25)
     world.state.outage = False
-    write(world, "j/a")
+    write_key(world, "j/a")
     world.net.faults.append(("state:1/watch", "refuse"))
     world.pass_time(8.0)
     assert follower.is_in_sync and matches_store(world, follower) and follower.resync_count == 0
@@ -137,15 +137,15 @@
 
 def test_replica_is_used_only_if_it_reaches_the_revision_of_the_leader_key(world):
     """A replica that lacks a placement would let a new leader exceed a limit, although every write is conditional."""
-    follower = follow(world)
-    write(world, "t/a/0")
+    follower = start_follower(world)
+    write_key(world, "t/a/0")
     leader_revision = Revision(world.state.revision)
     replica = world.run(follower.catch_up_to(leader_revision))
     assert replica is follower.replica and replica.get("t/a/0") is not None
     # The replica is not used if the poll of the change feed fails or does not reach the revision.
     assert world.run(follower.catch_up_to(Revision(world.state.revision + 1))) is None
     world.state.forgotten = world.state.revision + 1
-    write(world, "t/b/0")
+    write_key(world, "t/b/0")
     assert world.run(follower.catch_up_to(Revision(world.state.revision))) is None
     assert world.run(ReplicaFollower(world.clock, follower._store, 1).catch_up_to(leader_revision)) is None
 
@@ -155,7 +155,7 @@
     ("no difference", lambda world: None, []),
     ("key missing in the store", lambda world: world.state.keys.pop("t/a/0"), ["t/a/0"]),
     ("key at another revision in the store", lambda world: world.state.keys["w/m"].update(mark=1), ["w/m"]),
-    ("key written during the comparison", lambda world: write(world, "j/a"), []),
+    ("key written during the comparison", lambda world: write_key(world, "j/a"), []),
 ]
 
 
@@ -164,8 +164,8 @@
 )
 def test_replica_is_compared_with_the_store_without_writes_and_listings(world, change_store, expected):
     for key in ("j/a", "t/a/0", "w/m", "e/b"):
-        write(world, key)
-    follower = follow(world)
+        write_key(world, key)
+    follower = start_follower(world)
     change_store(world)
     revision, call_count_before = world.state.revision, len(world.net.calls)
     assert world.run(find_differences(world.clock, follower._store, follower.replica, lambda: True), 12.0) == expected
