--- a/meadowcross/autoscaling/autoscaler.py
+++ b/meadowcross/autoscaling/autoscaler.py
@@ -69,7 +69,7 @@
             is_cost_sensitive=may_wait_for_cheaper_capacity(settings.facts.objectives),
             started_at=Instant(clock.seconds()),
         )
-        completions = TaskCompletionForecast(host.job_table, host.runs)
+        completions = TaskCompletionForecast(host.job_table, host.run_time_estimator)
         self.kind_availability = availability = KindAvailability(clock)
         self._demand = demand = DemandTracker(context)
         self._decommissioner = Decommissioner(context, cloud, availability, completions)
@@ -122,11 +122,11 @@
         """Record the boot time of a machine that has sent its first heartbeat to any leader."""
         if machine.machine_type is not None:
             now = self._context.now
-            self.boot_times.record_boot(machine.machine_type, now - machine.rented_at, now)
+            self.boot_times.record_boot(machine.machine_type, now - machine.created_at, now)
 
-    def on_new_work(self) -> None:
+    def on_new_job(self) -> None:
         """Schedule a scale-out for a new job before the next tick."""
-        self._scale_out.on_new_work()
+        self._scale_out.on_new_job()
 
     def decommission(self, machine: Machine, reason: str) -> None:
         """Take the machine out of use and delete it; the deletion proves that its tasks are gone."""
--- a/meadowcross/autoscaling/incoming_capacity.py
+++ b/meadowcross/autoscaling/incoming_capacity.py
@@ -12,8 +12,8 @@
 from meadowcross.autoscaling.messages import MachineType
 from meadowcross.autoscaling.sizing import IncomingCapacity, ScaleOutRequest
 from meadowcross.common.types import Instant, MachineId, Seconds
-from meadowcross.estimates.runs import CAUTIOUS, Runs
-from meadowcross.estimates.samples import ran
+from meadowcross.estimates.estimators import CAUTIOUS_QUANTILE, RunTimeEstimator
+from meadowcross.estimates.samples import elapsed_run_s
 from meadowcross.jobs.job_table import JobTable, PlacementPhase
 from meadowcross.jobs.messages import JobSpec
 from meadowcross.workers.machine import Machine
@@ -55,9 +55,9 @@
     17.7 s under a profiler, 640 machines).
     """
 
-    def __init__(self, job_table: JobTable, runs: Runs) -> None:
+    def __init__(self, job_table: JobTable, run_time_estimator: RunTimeEstimator) -> None:
         self._job_table = job_table
-        self._runs = runs
+        self._run_time_estimator = run_time_estimator
         self._cache: dict[MachineId, _Forecast] = {}
 
     def completions_before(self, machine: Machine, deadline: Instant, now: Instant) -> Iterator[JobSpec]:
@@ -79,7 +79,9 @@
         for placement in machine.placements.values():
             job = self._job_table.jobs.get(placement.task.job)
             if job is not None and placement.phase is PlacementPhase.RUNNING and placement.running_at is not None:
-                remaining_s = self._runs.left(job.spec, ran(job, placement, now), CAUTIOUS)
+                remaining_s = self._run_time_estimator.remaining_time(
+                    job.spec, elapsed_run_s(job, placement, now), CAUTIOUS_QUANTILE
+                )
                 yield _Completion(Instant(now + remaining_s), job.spec)
 
     def forget(self, machine: MachineId) -> None:
@@ -127,7 +129,7 @@
             if machine.is_up:
                 if not is_usable(machine):
                     continue
-            elif self._now - machine.rented_at > overdue_after_s[machine_type.name]:
+            elif self._now - machine.created_at > overdue_after_s[machine_type.name]:
                 # The machine may still come up, but a machine created now is likely to come up sooner.
                 continue
             capacity = IncomingCapacity(
@@ -153,7 +155,7 @@
         waiting_s: dict[str, list[Seconds]] = {name: [] for name in self._machine_types}
         for machine in machines:
             if not machine.is_up and machine.machine_type is not None:
-                waiting_s[machine.machine_type.name].append(self._now - machine.rented_at)
+                waiting_s[machine.machine_type.name].append(self._now - machine.created_at)
         return {
             name: self._boot_times.overdue_after_s(machine_type, waiting_s[name], self._now)
             for name, machine_type in self._machine_types.items()
--- a/meadowcross/autoscaling/scale_in.py
+++ b/meadowcross/autoscaling/scale_in.py
@@ -76,7 +76,9 @@
     def _evict_checkpointable(self, machine: Machine) -> None:
         host = self._context.host
         is_expensive = machine.kind in self._demand.expensive_kinds
-        for placement, grace_s in plan_drain_evictions(machine, host.job_table, host.runs, self._context.now):
+        for placement, grace_s in plan_drain_evictions(
+            machine, host.job_table, host.run_time_estimator, self._context.now
+        ):
             spec = host.job_table.jobs[placement.task.job].spec
             # A task that only expensive kinds may run is not evicted, as it would be placed on such a kind again.
             if not is_expensive or not self._demand.requires_expensive_kind(spec):
@@ -119,7 +121,7 @@
         if not machine.is_draining or machine.kind not in self._demand.expensive_kinds:
             timeout_s = self._idle_timeout_s(machine)
         may_decommission = machine.is_draining or not self._demand.demands
-        if may_decommission and idle_s >= timeout_s and now - machine.rented_at >= MIN_CHARGE_S:
+        if may_decommission and idle_s >= timeout_s and now - machine.created_at >= MIN_CHARGE_S:
             self._decommissioner.decommission(machine, f"idle for {idle_s:.0f} s")
 
     def _idle_timeout_s(self, machine: Machine) -> Seconds:
--- a/meadowcross/controller/leadership.py
+++ b/meadowcross/controller/leadership.py
@@ -61,7 +61,7 @@
 
     def active(self) -> LeaderTerm | None:
         """Return the term while this node leads, otherwise None."""
-        return self.latest if self.latest is not None and not self.latest.stopped else None
+        return self.latest if self.latest is not None and not self.latest.is_stopped else None
 
     def heartbeat_handler(self) -> HandleHeartbeat | None:
         """Return the handler of workers' heartbeats while this node leads, otherwise None."""
@@ -130,7 +130,7 @@
             services.machine_types.machine_types,
             token,
             self._election,
-            self._link.status.most_workers_heard,
+            self._link.status.max_reporting_workers,
             self._follower,
             self._hints.hints_before(token) if self._follower is not None else None,
             self._recovery,
@@ -141,7 +141,7 @@
 
     def _is_cold_start(self) -> bool:
         """Return whether neither this node nor any peer has seen an earlier leader since its process began."""
-        peers = self._link.status.fresh_heartbeats()
+        peers = self._link.status.live_peer_heartbeats()
         return not (self._election.has_history or any(heartbeat.has_history for heartbeat in peers))
 
     def _build_relay_pool(self, token: FencingToken) -> RelayPool | None:
@@ -161,7 +161,7 @@
                 services.settings.facts.workers.report_s,
                 services.operator.silent_s,
             ),
-            self._link.status.fresh_heartbeats,
+            self._link.status.live_peer_heartbeats,
         )
 
 
@@ -214,10 +214,10 @@
         """
         candidates = [
             heartbeat
-            for heartbeat in self._link.status.fresh_heartbeats()
+            for heartbeat in self._link.status.live_peer_heartbeats()
             if heartbeat.is_in_sync and heartbeat.is_store_answering
         ]
-        best = min(candidates, key=lambda heartbeat: (-heartbeat.workers_heard, heartbeat.node), default=None)
+        best = min(candidates, key=lambda heartbeat: (-heartbeat.reporting_workers, heartbeat.node), default=None)
         if best is None:
             return None
         response = await self._link.offer_leadership(best.node)
--- a/meadowcross/controller/peers.py
+++ b/meadowcross/controller/peers.py
@@ -49,29 +49,29 @@
             node=self.services.node,
             is_store_answering=store.is_answering(),
             leading_token=self.election.token,
-            workers_heard=self.workers.count(),
+            reporting_workers=self.workers.count(),
             incarnation=self.services.incarnation,
             is_in_sync=follower is not None and follower.is_in_sync,
             lost_peers=self.peers.lost_peers(),
             store_epoch=epochs.record.number if epochs.record is not None else None,
             is_epoch_lost=epochs.is_lost(),
-            is_loss_older=epochs.is_loss_older,
+            is_loss_before_replica=epochs.is_loss_before_replica,
             has_history=self.election.has_history,
             highest_token=epochs.highest_token,
             followed_revision=follower.followed_revision() if follower is not None else Revision(0),
             store_utilization=store.used_share(),
-            relay_room=self.relay_capacity,
+            relay_capacity=self.relay_capacity,
         )
 
     def peer_heartbeats(self) -> list[PeerHeartbeat]:
         """Return the recent heartbeats of all peers that are not lost."""
-        return self.peers.fresh_heartbeats()
+        return self.peers.live_peer_heartbeats()
 
     def is_lost(self, peer: NodeName) -> bool:
         """Return whether the peer is lost, which means that its process has probably ended."""
         return self.peers.is_lost(peer)
 
-    def workers_arrived_since(self, instant: Instant) -> int:
+    def count_workers_since(self, instant: Instant) -> int:
         """Return the number of workers that sent heartbeats here since `instant`, except those that it relays."""
         return self.workers.count_since(instant)
 
@@ -107,7 +107,7 @@
         self._store_epochs.observe_token(max(heartbeat.highest_token, leading_token))
         self._relay.on_token_seen(leading_token)
         if heartbeat.is_epoch_lost and heartbeat.store_epoch is not None:
-            self._store_epochs.on_loss_reported(heartbeat.store_epoch, heartbeat.node, heartbeat.is_loss_older)
+            self._store_epochs.on_loss_reported(heartbeat.store_epoch, heartbeat.node, heartbeat.is_loss_before_replica)
         if heartbeat.leading_token is not None:
             self._on_leader_heartbeat(heartbeat, heartbeat.leading_token)
 
--- a/meadowcross/controller/recovery.py
+++ b/meadowcross/controller/recovery.py
@@ -66,7 +66,7 @@
         """Freeze the replica, step down, and report a proven data loss to the peers."""
         record = self._store_epochs.record
         if self._follower is not None and record is not None:
-            self._follower.freeze(record.number, self._store_epochs.is_loss_older)
+            self._follower.freeze(record.number, self._store_epochs.is_loss_before_replica)
         self._election.step_down(f"the state service has lost data: {reason}")
         self._election.wake()
         self._link.send_heartbeats()
@@ -122,7 +122,7 @@
                 f"token {epochs.highest_token} was received, the store is at revision {self._store.highest_revision}"
             )
             epochs.report_loss(reason, True)
-        peer_epochs = (heartbeat.store_epoch or 0 for heartbeat in self._peers.fresh_heartbeats())
+        peer_epochs = (heartbeat.store_epoch or 0 for heartbeat in self._peers.live_peer_heartbeats())
         return await epochs.begin_epoch(LEADER_KEY, revision, max(peer_epochs, default=0))
 
 
@@ -157,7 +157,7 @@
         """Return whether this node does not lead and no follower in sync has a name that sorts before its own."""
         followers = [
             heartbeat.node
-            for heartbeat in self._peers.fresh_heartbeats()
+            for heartbeat in self._peers.live_peer_heartbeats()
             if heartbeat.is_in_sync and heartbeat.leading_token is None
         ]
         return self._terms.active() is None and min([self._node, *followers]) == self._node
@@ -186,10 +186,10 @@
         """Return the queries to peers in the form that the API for users takes."""
         return PeerQueries(
             progress=progress.progress_of,
-            has_store=self._link.status.peer_has_store,
+            has_store=self._link.status.has_peer_with_store,
             forward=self._link.forward,
             leader_forwarder=self.leader_forwarder,
-            ask_peer_with_history=self.ask_peer_with_history,
+            query_peer_with_history=self.query_peer_with_history,
             has_unknown_leader=self.has_unknown_leader,
         )
 
@@ -198,7 +198,7 @@
         leader = self._leaders.known_leader()
         return self._store_epochs.highest_token > (leader[1] if leader is not None else FencingToken(0))
 
-    async def ask_peer_with_history(self, job: JobId) -> ServerResponse | None:
+    async def query_peer_with_history(self, job: JobId) -> ServerResponse | None:
         """Forward a query for a job without a record to a peer with a longer history.
 
         Returns None if this node has followed the store for long enough itself, if there is no such peer, or if the
@@ -207,7 +207,7 @@
         follower = self._follower
         if self._election.has_history and follower is not None and follower.has_followed_for(LONG_HISTORY_S):
             return None
-        peer = next(filter(_is_in_sync_with_history, self._link.status.fresh_heartbeats()), None)
+        peer = next(filter(_is_in_sync_with_history, self._link.status.live_peer_heartbeats()), None)
         return await self._link.forward("query", job, b"", peer.node) if peer is not None else None
 
     def leader_forwarder(self) -> RequestForwarder | None:
--- a/meadowcross/leadership/messages.py
+++ b/meadowcross/leadership/messages.py
@@ -28,7 +28,7 @@
     """Whether the store responds to the node."""
     leading_token: FencingToken | None = field(name="leads", default=None)
     """The token of the node while it leads, else None."""
-    workers_heard: int = field(name="hears", default=0)
+    reporting_workers: int = field(name="hears", default=0)
     """Number of workers that sent heartbeats to the node recently, whether it leads or not."""
     incarnation: str = field(name="life", default="")
     """Identifies the process among all processes of the node; empty in messages from nodes of an earlier version."""
@@ -40,7 +40,7 @@
     """The store epoch that the node has read, or None before it has read one."""
     is_epoch_lost: bool = field(name="era_lost", default=False)
     """Whether the node has proof that the store lost data in `store_epoch`."""
-    is_loss_older: bool = field(name="era_lost_before", default=False)
+    is_loss_before_replica: bool = field(name="era_lost_before", default=False)
     """Whether the data loss is older than everything that the node followed, so that its replica lacks the data too."""
     has_history: bool = field(name="seasoned", default=False)
     """Whether the node has observed a leader since its process started; see `Election.has_history`."""
@@ -51,7 +51,7 @@
     processed all writes."""
     store_utilization: float = field(name="store_used", default=0.0)
     """Recently used share of the rate limits of the store; followers may borrow what the leader leaves unused."""
-    relay_room: int | None = None
+    relay_capacity: int | None = field(name="relay_room", default=None)
     """Number of workers that the node can serve as a relay; None if it can't relay, as nodes of an earlier version."""
 
 
--- a/meadowcross/leadership/scheduling_view.py
+++ b/meadowcross/leadership/scheduling_view.py
@@ -12,8 +12,8 @@
 from meadowcross.common.clock import Clock
 from meadowcross.common.settings import Facts
 from meadowcross.common.types import EPSILON, Instant, MachineId, Seconds
-from meadowcross.estimates.runs import Runs
-from meadowcross.estimates.samples import ran
+from meadowcross.estimates.estimators import RunTimeEstimator
+from meadowcross.estimates.samples import elapsed_run_s
 from meadowcross.jobs.job_table import Job, JobTable, PlacementPhase
 from meadowcross.jobs.messages import JobKind, JobSpec
 from meadowcross.jobs.objectives import ServiceLevelObjectives, slack
@@ -23,7 +23,7 @@
 from meadowcross.placement.scoring import SLOW_FETCH_S
 from meadowcross.placement.victims import Victim, mark_borrowed
 from meadowcross.workers.health import FailureTracker
-from meadowcross.workers.heartbeat_tracker import silence_window
+from meadowcross.workers.heartbeat_tracker import silence_window_s
 from meadowcross.workers.machine import Machine
 from meadowcross.workers.registry import WorkerRegistry
 
@@ -73,17 +73,17 @@
         job_table: JobTable,
         worker_registry: WorkerRegistry,
         health: FailureTracker,
-        runs: Runs,
+        run_time_estimator: RunTimeEstimator,
     ) -> None:
         self._clock = clock
         self._machine_types = machine_types
         self._job_table = job_table
         self._worker_registry = worker_registry
         self._health = health
-        self._runs = runs
+        self._run_time_estimator = run_time_estimator
         self._teams = {team.name: team for team in facts.teams}
         self._objectives = ServiceLevelObjectives(facts.objectives)
-        self._contact_window_s = silence_window(facts.workers.report_s)
+        self._contact_window_s = silence_window_s(facts.workers.report_s)
         self._resumed_at = Instant(0.0)
 
     @property
@@ -267,7 +267,7 @@
 
     def _pending_job(self, job: Job, shared: _SharedInputs) -> PendingJob:
         spec = job.spec
-        run_s = self._runs.run(spec)
+        run_s = self._run_time_estimator.run_time(spec)
         elapsed_s = shared.now - job.submitted_at
         if job.deadlines is None:
             job.deadlines = self._objectives.deadlines(spec)
@@ -360,9 +360,9 @@
             if team.name != pending_job.spec.team
         )
 
-    def victims(self, rank: int, guaranteed: bool) -> list[Victim]:
+    def victims(self, rank: int, has_guaranteed_tasks: bool) -> list[Victim]:
         """Returns the tasks that may be stopped at once for tasks of this rank; tasks of the same rank only if
-        `guaranteed`, that is, if a team's guarantee covers some of the tasks to place.
+        `has_guaranteed_tasks`: a team's guarantee covers some of the tasks to place.
 
         Members of gangs are excluded: their whole attempt would be lost."""
         now = self._now
@@ -373,7 +373,7 @@
         for job in self._job_table.jobs.values():
             if not job.placements or job.rank < rank or job.is_gang:
                 continue
-            if job.rank == rank and (not guaranteed or cpus_over_guarantee.get(job.spec.team, 0.0) <= 0):
+            if job.rank == rank and (not has_guaranteed_tasks or cpus_over_guarantee.get(job.spec.team, 0.0) <= 0):
                 continue
             victims += self._victims_of(job, now, is_machine_schedulable)
         mark_borrowed(victims, cpus_over_guarantee)
@@ -400,7 +400,7 @@
         spec = job.spec
         checkpoint_interval_s = spec.checkpoint_interval_s
         has_checkpoints = checkpoint_interval_s > 0
-        almost_done_s = max(ALMOST_DONE_S, self._runs.run(spec) - ALMOST_DONE_S)
+        almost_done_s = max(ALMOST_DONE_S, self._run_time_estimator.run_time(spec) - ALMOST_DONE_S)
         for placement in job.placements.values():
             if placement.stop_requested_at is not None:
                 continue
@@ -408,10 +408,10 @@
                 continue
             if not is_machine_schedulable(placement.machine):
                 continue
-            ran_s = ran(job, placement, now)
+            ran_s = elapsed_run_s(job, placement, now)
             # The median of runs that have lasted this long is not below the median of all runs, so the remaining time
             # is only estimated close to the median or past it.
-            if ran_s > almost_done_s and self._runs.left(spec, ran_s) < ALMOST_DONE_S:
+            if ran_s > almost_done_s and self._run_time_estimator.remaining_time(spec, ran_s) < ALMOST_DONE_S:
                 continue
             lost_s = ran_s % checkpoint_interval_s if has_checkpoints else ran_s
             yield Victim(
--- a/meadowcross/relay/pool.py
+++ b/meadowcross/relay/pool.py
@@ -30,7 +30,7 @@
 from meadowcross.relay.relay import RENEWAL_INTERVAL_S
 from meadowcross.store.token_bucket import TokenBucket
 from meadowcross.workers.dispatcher import COMMAND_TIMEOUT_S, SendCommands
-from meadowcross.workers.heartbeat_tracker import silence_window
+from meadowcross.workers.heartbeat_tracker import silence_window_s
 from meadowcross.workers.machine import Machine
 from meadowcross.workers.registry import WorkerRegistry
 
@@ -61,20 +61,20 @@
     """The part of a peer heartbeat that states whether the peer can be a relay."""
 
     node: NodeName
-    relay_room: int | None
+    relay_capacity: int | None
 
 
 class RelayLink(Protocol):
     """The part of the connections between controllers that a leader with relays needs.
 
-    `ask_relay` raises ConnectionFailedError and NoResponseError.
+    `forward_commands` raises ConnectionFailedError and NoResponseError.
     """
 
-    def send_relay(self, message: RelayGrant | ResendRequest, peer: NodeName) -> bool:
+    def send_relay_message(self, message: RelayGrant | ResendRequest, peer: NodeName) -> bool:
         """Send the message without waiting for an answer; return False if the peer is not connected."""
         ...
 
-    async def ask_relay(
+    async def forward_commands(
         self, peer: NodeName, make_request: Callable[[int], ForwardedCommands], timeout_s: Seconds
     ) -> CommandsAnswer:
         """Send the request that `make_request` builds from its number, and return the answer."""
@@ -137,7 +137,7 @@
         self._send_by_persistent_client = direct_sender(clients.persistent)
         self._send_by_short_lived_client = direct_sender(clients.short_lived)
         self._settings = settings
-        self._silence_window_s = silence_window(settings.report_s) + RENEWAL_INTERVAL_S
+        self._silence_window_s = silence_window_s(settings.report_s) + RENEWAL_INTERVAL_S
         self._failover_s = 1.25 * settings.report_s + WORKER_RESPONSE_TIMEOUT_S + WORKER_RETRY_DELAY_S
         """The longest time that a worker needs to reach another node."""
         self._min_grace_s = max(0.0, self._failover_s + CHECK_INTERVAL_S - settings.silent_s)
@@ -182,8 +182,8 @@
         granted: dict[NodeName, RelayCapacity] = {}
         for peer in self._peers():
             message = RelayGrant(self._node, self._token, GRANT_DURATION_S)
-            if peer.relay_room is not None and self._link.send_relay(message, peer.node):
-                granted[peer.node] = RelayCapacity(self._settings.zones.get(peer.node, ""), peer.relay_room)
+            if peer.relay_capacity is not None and self._link.send_relay_message(message, peer.node):
+                granted[peer.node] = RelayCapacity(self._settings.zones.get(peer.node, ""), peer.relay_capacity)
         return granted
 
     def _should_be_enabled(self) -> bool:
@@ -266,7 +266,7 @@
             ):
                 machines_to_resend.append(machine.id)
         if machines_to_resend:
-            self._link.send_relay(ResendRequest(self._token, machines_to_resend), renewals.node)
+            self._link.send_relay_message(ResendRequest(self._token, machines_to_resend), renewals.node)
 
     def adopt_workers(self, relayed: RelayedWorkers) -> None:
         """Assign to a relay the workers that it had before this term began; commands to them go through the relay."""
@@ -275,7 +275,7 @@
                 if self.assignment.relay_of(machine) is None:
                     self.assignment.assign(machine, relayed.node)
 
-    def forget(self, machine: MachineId) -> None:
+    def remove_machine(self, machine: MachineId) -> None:
         """Remove a deleted machine from the assignment."""
         self.assignment.remove_worker(machine)
 
@@ -294,7 +294,7 @@
         return await self._send_through(relay, machine.address, body)
 
     async def _send_through(self, relay: NodeName, address: Address, body: bytes) -> ClientResponse:
-        answer = await self._link.ask_relay(
+        answer = await self._link.forward_commands(
             relay,
             lambda number: ForwardedCommands(number, self._token, address, Raw(body)),
             COMMAND_TIMEOUT_S + LINK_MARGIN_S,
--- a/tests/leadership/test_cancellation.py
+++ b/tests/leadership/test_cancellation.py
@@ -214,7 +214,7 @@
 
     def record():
         old_term = lab.nodes[run.leaders[0]].term
-        assert not old_term.stopped
+        assert not old_term.is_stopped
         run.machines_of_old_leader = sum(
             m.contact.last_heartbeat_at > 1053.0 for m in old_term.worker_registry.machines.values() if m.is_up
         )
@@ -434,7 +434,7 @@
 
 
 def stop_nothing_before_load(monkeypatch):
-    monkeypatch.setattr(CancellationsBeforeLoad, "list_stops", lambda self, heartbeat: [])
+    monkeypatch.setattr(CancellationsBeforeLoad, "list_stop_commands", lambda self, heartbeat: [])
 
 
 def send_stops_once(monkeypatch):
@@ -653,7 +653,7 @@
     world.submit(grazeS=900.0)
     world.pass_time(8.0)
     loss_reasons = []
-    term.recovery.report_data_loss = lambda reason, is_loss_older=False: loss_reasons.append(reason)
+    term.recovery.report_data_loss = lambda reason, is_loss_before_replica=False: loss_reasons.append(reason)
     follower.begin_leading(StoreReplica(), True)
     apply, delayed_events, delayed_batches = term.job_records.apply, [], []
     term.job_records.apply = lambda *event: delayed_events.append(event)
