--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -72,7 +72,7 @@
             "addr": f"{name}:9000",
         }
         world.cloud.machines[name] = machine
-        world.worker_up(machine)
+        world.add_worker(machine)
         record = to_builtins(MachineRecord("large", "east", True, WallTime(900.0), Address(f"{name}:9000")))
         writes.append({"write": "w/" + name, "data": record})
         tasks = []
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests, arranged as the packages that they test."""
+"""Tests, one package for each package of the source tree, and the helpers in `tests.support`."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that all tests share."""
+"""Fixtures that all tests share, and the plugin that marks known failures."""
 
 from __future__ import annotations
 
@@ -21,19 +21,20 @@
 
 @pytest.fixture
 def world() -> World:
+    """A controller's components on a fake clock with simulated services."""
     return World()
 
 
 def pytest_unconfigure() -> None:
-    """Coroutines that still wait when the interpreter ends have nothing left to tell."""
+    """Disables logging: coroutines that are closed when the interpreter exits would log errors of no interest."""
     logging.disable()
 
 
 @pytest.fixture(autouse=True)
 def unhandled_errors() -> Iterator[UnhandledErrors]:
-    """Fails the test that leaves an error of a Deferred which nobody handles.
+    """Fails a test that leaves an unhandled error in a Deferred.
 
-    Twisted logs such an error only when the Deferred is collected, so garbage is collected before the test is over.
+    Twisted logs such an error only when the Deferred is collected, so garbage is collected before the test ends.
     """
     errors = UnhandledErrors()
     globalLogPublisher.addObserver(errors)
@@ -42,4 +43,4 @@
         gc.collect()
     finally:
         globalLogPublisher.removeObserver(errors)
-    assert not errors.found, f"{len(errors.found)} errors of Deferreds that nobody handles: {errors.found[0]}"
+    assert not errors.tracebacks, f"{len(errors.tracebacks)} unhandled errors in Deferreds: {errors.tracebacks[0]}"
--- a/tests/leadership/test_reachability.py
+++ b/tests/leadership/test_reachability.py
@@ -102,7 +102,7 @@
     term = start_busy_leader(world)
     world.pass_time(5.0, 0.25)
     world.reporting = False
-    world.peers_hear = best_peer_reach
+    world.best_peer_reach = best_peer_reach
     world.pass_time(7.0, 0.25)
     assert term.stopped is has_stepped_down
     assert world.cloud.deleted == []
@@ -118,7 +118,7 @@
     start_busy_leader(world)
     world.pass_time(5.0, 0.25)
     world.reporting = False
-    world.peers_hear = None
+    world.best_peer_reach = None
     world.pass_time(30.0, 0.25)
     second_term = world.term
     assert len(world.terms) == 2 and not second_term.stopped
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers that several tests share."""
+"""Helpers that several tests share, and the checks of the test suite that CI runs."""
--- a/tests/support/election.py
+++ b/tests/support/election.py
@@ -1,4 +1,4 @@
-"""An election whose node has no peers, on a store that never lost data."""
+"""Builds an election of a node without peers, on a store that never lost data."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RevisionTokens:
-    """The leader key's revision is the token; see `election.TokenSource`."""
+    """Takes the revision of the leader key as the fencing token; implements `election.TokenSource`."""
 
     def token_if_epoch_known(self, revision: Revision) -> FencingToken:
         return FencingToken(revision)
@@ -26,8 +26,8 @@
         return False
 
 
-class LoneNode:
-    """Begins terms by a function, and knows nobody else; see `election.ElectionListener`."""
+class SingleNode:
+    """Begins each term by calling a function, and has no peers; implements `election.ElectionListener`."""
 
     def __init__(self, begin_term: Callable[[Any], ActiveTerm]) -> None:
         self.begin_term = begin_term
@@ -45,8 +45,8 @@
 def make_election(
     clock: Any, store: Any, name: str, incarnation: str, begin_term: Callable[[Any], ActiveTerm]
 ) -> Election:
-    """An election that has a lease of three seconds, and does not run yet."""
+    """An election with a leader lease of three seconds that is not running yet."""
     record = LeaderRecord(NodeName(name), incarnation)
     election = Election(clock, store, record, 3.0, RevisionTokens())
-    election.set_listener(LoneNode(begin_term))
+    election.set_listener(SingleNode(begin_term))
     return election
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -1,4 +1,4 @@
-"""A peer link whose node does nothing with what peers say, but for what a test asks."""
+"""Connects a peer link to a node that ignores peers' messages, except those that a test handles."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class QuietNode:
-    """Takes heartbeats, requests and notices; tests that need hints or relays bring their own listeners."""
+    """Ignores heartbeats and passes requests and notices to the test's functions.
+
+    It handles neither hints nor relay messages; tests that need them pass listeners of their own.
+    """
 
     def __init__(
         self,
@@ -47,7 +50,7 @@
     serve_forwarded: Callable[..., Any] | None = None,
     on_notice: Callable[[Any], bool | None] = lambda notice: False,
 ) -> PeerLink:
-    """Give the link its listeners; returns it."""
+    """Set a QuietNode as the listener of all the link's messages; returns the link."""
     node: Any = QuietNode(heartbeat, progress_of, serve_forwarded, on_notice)
     link.set_listeners(PeerListeners(heartbeats=node, requests=node, hints=node, cancellations=node, relays=node))
     return link
--- a/tests/support/terms.py
+++ b/tests/support/terms.py
@@ -1,4 +1,4 @@
-"""A leader's term in tests: faults put in on purpose, and the state that its components share."""
+"""Builds the state that the components of a leader's term share, and injects faults into running terms."""
 
 from __future__ import annotations
 
@@ -26,24 +26,24 @@
 
 
 def before_each_tick(monkeypatch: pytest.MonkeyPatch, act: Callable[[LeaderTerm], None]) -> None:
-    """Have `act` done by each term before each of its ticks."""
+    """Calls `act` with each leader's term before each tick of its maintenance loop."""
     start, tick = LeaderTerm.start, MaintenanceLoop.tick
     terms: dict[MaintenanceLoop, LeaderTerm] = {}
 
-    def registered(term: LeaderTerm) -> None:
+    def start_and_register(term: LeaderTerm) -> None:
         terms[term.maintenance_loop] = term
         start(term)
 
-    def acted(loop: MaintenanceLoop) -> None:
+    def act_and_tick(loop: MaintenanceLoop) -> None:
         act(terms[loop])
         tick(loop)
 
-    monkeypatch.setattr(LeaderTerm, "start", registered)
-    monkeypatch.setattr(MaintenanceLoop, "tick", acted)
+    monkeypatch.setattr(LeaderTerm, "start", start_and_register)
+    monkeypatch.setattr(MaintenanceLoop, "tick", act_and_tick)
 
 
 class FakeLeadership:
-    """Stands for the election that a term was begun by."""
+    """Replaces the election of a term; records requests to step down or to transfer leadership."""
 
     def __init__(self) -> None:
         self.step_down_reasons: list[str] = []
@@ -61,7 +61,7 @@
 
 
 def build_state(clock: Clock, leadership: FakeLeadership | None = None, is_loaded: bool = True) -> TermState:
-    """The state of a term with token 1 that begins now, without jobs and machines."""
+    """The state of a term with fencing token 1 that begins now, without jobs and machines."""
     token = FencingToken(1)
     settings = msgspec.convert(SETTINGS, Settings)
     types = decode_machine_types(encode({"builds": TYPES})).types
@@ -81,20 +81,20 @@
 
 
 def add_job(state: TermState, **changes: Any) -> Job:
-    """An open job as users submit it, with some fields changed."""
+    """Adds an open job with the default submission's fields, some of them changed."""
     record = JobRecord(msgspec.convert(job(**changes), JobSpec), WallTime(state.context.now))
     return state.job_table.add(record, Revision(1))
 
 
 def add_machine(state: TermState, name: str = "i-1") -> Machine:
-    """A machine of the smallest type, not heard yet."""
+    """Adds a machine of the first type that has not sent a heartbeat yet."""
     machine_type = state.context.list_machine_types()[0]
     kind = MachineKind(machine_type.name, "east", False)
     return state.worker_registry.add(Machine(MachineId(name), kind, machine_type, state.context.now))
 
 
 def place_task(state: TermState, job: Job, machine: Machine) -> Placement:
-    """One more task of the job, placed and not stored yet."""
+    """Places the job's next waiting task on the machine; the placement is not stored."""
     placement = state.job_table.place(job, job.pop_waiting_task(), machine.id, state.context.now)
     state.worker_registry.assign(machine, placement, job.spec)
     return placement
--- a/tests/support/test_kept_tests.py
+++ b/tests/support/test_kept_tests.py
@@ -1,4 +1,4 @@
-"""The check that no test of before is lost."""
+"""The check that each test of the reference commit still exists."""
 
 from __future__ import annotations
 
@@ -42,12 +42,12 @@
         (
             "tests/test_o.py\ttests/test_p.py\n",
             BEFORE,
-            ["tests/data/renamed_tests.tsv: no test of before: tests/test_o.py"],
+            ["tests/data/renamed_tests.tsv: no such test at the reference commit: tests/test_o.py"],
         ),
     ],
-    ids=["kept", "gone", "a case gone", "file moved", "most exact", "new name absent", "merged", "unknown old name"],
+    ids=["kept", "gone", "a case gone", "file moved", "most specific", "new name absent", "merged", "unknown old name"],
 )
-def test_lost_tests_are_found(renames, present, problems):
+def test_problems_of_kept_tests_are_found(renames, present, problems):
     assert find_problems(BEFORE, present, read_renames(renames)) == problems
 
 
@@ -62,6 +62,6 @@
     ],
     ids=["no tab", "no new name", "file to test", "test to case", "twice"],
 )
-def test_map_of_renames_is_strict(text, line):
+def test_invalid_line_of_renames_is_rejected(text, line):
     with pytest.raises(ValueError, match=rf"^tests/data/renamed_tests\.tsv:{line}: "):
         read_renames(text)
--- a/tests/support/unhandled_errors.py
+++ b/tests/support/unhandled_errors.py
@@ -1,22 +1,22 @@
-"""Collects errors of Deferreds that nobody handled: Twisted logs one event that says so, then one with the failure."""
+"""Collects unhandled errors of Deferreds from Twisted's log: one event announces it, the next has the failure."""
 
 from __future__ import annotations
 
 from typing import Any
 
-SAID = "Unhandled error in Deferred:"
+UNHANDLED_ERROR_FORMAT = "Unhandled error in Deferred:"
 
 
 class UnhandledErrors:
-    """An observer of Twisted's log."""
+    """An observer of Twisted's log that keeps the traceback of each unhandled error."""
 
     def __init__(self) -> None:
-        self.found: list[str] = []
+        self.tracebacks: list[str] = []
         self._next = False
 
     def __call__(self, event: dict[str, Any]) -> None:
-        if event.get("log_format") == SAID:
+        if event.get("log_format") == UNHANDLED_ERROR_FORMAT:
             self._next = True
         elif self._next and "log_failure" in event:
             self._next = False
-            self.found.append(str(event["log_failure"].getTraceback()))
+            self.tracebacks.append(str(event["log_failure"].getTraceback()))
--- a/tests/support/wire_constants.py
+++ b/tests/support/wire_constants.py
@@ -1,6 +1,6 @@
-"""Golden samples of what is no message: stored keys, values of enumerations, tokens, settings files and a snapshot.
+"""Golden samples of stored keys, enumeration values, tokens, settings files and a snapshot, which are not messages.
 
-`python -m tests.support.wire_constants` wrote them, once, on the code of commit e82f744.
+`python -m tests.support.wire_constants` wrote them once, with the code of the reference commit e82f744.
 """
 
 from __future__ import annotations
@@ -90,7 +90,8 @@
 }
 
 
-def stored_keys() -> dict[str, Any]:
+def build_stored_keys() -> dict[str, Any]:
+    """One key of each kind in the store, under a fixed name that does not follow the names in the code."""
     job = JobId("wk-123456")
     ticket = ticket_id("studio", "key-1")
     return {
@@ -119,10 +120,11 @@
     }
 
 
-def constants() -> dict[str, Any]:
+def collect_constants() -> dict[str, Any]:
+    """All constants that are sent or stored, as plain JSON values."""
     token = compose_token(3, Revision(77))
-    made = {
-        "keys": stored_keys(),
+    values = {
+        "keys": build_stored_keys(),
         "values": {key: [member.value for member in kind] for key, kind in _ENUMERATIONS.items()},
         "reasons": [
             EXIT_DONE,
@@ -136,14 +138,14 @@
         "tokens": [token, store_epoch_of(token), revision_of(token), compose_token(0, Revision(5))],
         "task": str(TaskId(JobId("wk-123456"), 12)),
     }
-    plain: dict[str, Any] = json.loads(json.dumps(made))
+    plain: dict[str, Any] = json.loads(json.dumps(values))
     return plain
 
 
-def settings() -> dict[str, Any]:
-    """Each settings file as it is read, under the names of its fields on the wire."""
+def collect_settings() -> dict[str, Any]:
+    """The values read from each settings file, under the encoded names of the fields."""
     platform, operator = load_settings(str(WIRE / "settings.toml")), load_operator_settings(str(WIRE / "operator.xml"))
-    made = {
+    values = {
         "settings.toml": platform,
         "operator.xml": operator,
         "tickets.xml": load_submitters(str(WIRE / "tickets.xml")),
@@ -152,12 +154,12 @@
         "digest": settings_digest(platform, operator),
         "digest of defaults": settings_digest(platform, OperatorSettings()),
     }
-    plain: dict[str, Any] = json.loads(msgspec.json.encode(made))
+    plain: dict[str, Any] = json.loads(msgspec.json.encode(values))
     return plain
 
 
 def write_sample_snapshot(directory: pathlib.Path) -> None:
-    """A full snapshot and one of the changes after it."""
+    """Writes a full snapshot and the incremental snapshot that follows it."""
     full = [
         SnapshotEntry("j/wk-123456", Revision(5), Raw(b'{"a":1}')),
         SnapshotEntry("w/m-1", Revision(7), Raw(b"[2]")),
@@ -178,7 +180,7 @@
 
 
 if __name__ == "__main__":
-    _write("constants.json", constants())
-    _write("settings.json", settings())
+    _write("constants.json", collect_constants())
+    _write("settings.json", collect_settings())
     SNAPSHOT.mkdir(exist_ok=True)
     write_sample_snapshot(SNAPSHOT)
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -1,4 +1,4 @@
-"""State service, cloud and workers on a fake clock, with one controller's parts among them."""
+"""One controller's components on a fake clock, with a simulated state service, cloud and workers."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def job(**changes: Any) -> dict[str, Any]:
-    """A valid submission, with some fields changed; a value of ... leaves the field out."""
+    """A valid submission, with some fields changed; the value `...` leaves a field out."""
     fields = {
         "id": "wk-000001",
         "herd": "train",
@@ -74,7 +74,7 @@
 
 
 class World:
-    """State service, cloud and workers on a fake clock, and one node's slices."""
+    """Simulated state service, cloud and workers, and the components of controller `n0`."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -85,8 +85,8 @@
         self.workers: dict[str, Worker] = {}
         self.net.state = self.state
         self.net.hosts = {"state:1": self.state.handle, "cloud:1": self.cloud.handle}
-        self.cloud.on_rent = self.worker_up
-        self.cloud.on_delete = self.worker_gone
+        self.cloud.on_rent = self.add_worker
+        self.cloud.on_delete = self.remove_worker
         self.settings = msgspec.convert(SETTINGS, Settings)
         self.store = StoreClient(self.clock, self.net, Address("state:1"), self.settings.facts.state)
         self.types = decode_machine_types(encode({"builds": TYPES})).types
@@ -94,18 +94,21 @@
         self.term: LeaderTerm | None = None
         self.terms: list[LeaderTerm] = []
         self.reporting = True
-        self.peers_hear: int | None = 0
+        self.best_peer_reach: int | None = 0
         self.follower: ReplicaFollower | None = None
 
-    def worker_up(self, machine: dict[str, Any]) -> None:
+    def add_worker(self, machine: dict[str, Any]) -> None:
+        """Start a worker on a machine that the cloud created."""
         worker = Worker(dict(machine))
         self.workers[machine["id"]] = worker
         self.net.hosts[machine["addr"]] = worker.handle
 
-    def worker_gone(self, name: str) -> None:
+    def remove_worker(self, name: str) -> None:
+        """Remove the worker of a machine that the cloud deleted."""
         self.net.hosts.pop(self.workers.pop(name).machine["addr"], None)
 
-    def begin(self, token: int) -> LeaderTerm:
+    def begin_term(self, token: int) -> LeaderTerm:
+        """Start a leader's term, as the election does."""
         cloud = CloudClient(self.clock, self.net, Address("cloud:1"), self.settings.facts.cloud)
         self.term = LeaderTerm(
             self.clock,
@@ -117,22 +120,23 @@
             lambda: self.types,
             token,
             self.election,
-            lambda: self.peers_hear,
+            lambda: self.best_peer_reach,
             self.follower,
         )
         self.term.start()
         self.terms.append(self.term)
         return self.term
 
-    def lead(self, life: str = "one") -> LeaderTerm:
-        """Elect this node and let the term load."""
-        self.election = make_election(self.clock, self.store, "n0", life, self.begin)
+    def lead(self, incarnation: str = "one") -> LeaderTerm:
+        """Elect this node, and wait until its term has loaded the state."""
+        self.election = make_election(self.clock, self.store, "n0", incarnation, self.begin_term)
         Deferred.fromCoroutine(self.election.run())
         self.pass_time(0.5)
         assert self.term is not None and self.term.loaded
         return self.term
 
     def api(self, peers: PeerQueries | None = None, events: JobEvents | None = None) -> JobApi:
+        """The controller's API for users."""
         admission = JobAdmission(self.settings.facts.teams, ["east", "west"], lambda: self.types)
         return JobApi(
             self.clock,
@@ -145,40 +149,45 @@
         )
 
     def pass_time(self, seconds: float, step: float = 0.05) -> None:
-        """Advance the clock; workers report every second while `reporting`."""
-        for i in range(max(1, round(seconds / step))):
+        """Advance the clock in steps; each worker sends a heartbeat every 20 steps while `reporting`."""
+        for step_number in range(max(1, round(seconds / step))):
             self.clock.advance(step)
-            if self.reporting and i % 20 == 0:
+            if self.reporting and step_number % 20 == 0:
                 for worker in list(self.workers.values()):
                     self.report(worker)
 
     def report(self, worker: Worker) -> Any:
+        """Send the worker's heartbeat to the term and carry out the commands of the response; None without a term."""
         if self.term is None or self.term.stopped:
             return None
         response = self.term.handle_heartbeat(decode_heartbeat(encode(worker.report())))
         if response is not None:
-            answer = msgspec.to_builtins(response)
-            if answer["crook"] >= worker.token:
-                worker.token = answer["crook"]
-                worker.obey(answer["calls"])
+            fields = msgspec.to_builtins(response)
+            if fields["crook"] >= worker.token:
+                worker.token = fields["crook"]
+                worker.obey(fields["calls"])
         return response
 
     def run(self, work: Coroutine[Any, Any, Any], seconds: float = 3.0) -> Any:
-        """The result of a coroutine that ends within this time."""
-        box: list[Any] = []
-        Deferred.fromCoroutine(work).addBoth(box.append)
+        """The result of the coroutine, or its Failure; fails unless it ends within `seconds` of the fake clock."""
+        results: list[Any] = []
+        Deferred.fromCoroutine(work).addBoth(results.append)
         for _ in range(int(seconds / 0.05)):
-            if box:
+            if results:
                 break
             self.pass_time(0.05)
-        assert box, "no result in time"
-        return box[0]
+        assert results, "no result in time"
+        return results[0]
 
     def submit(self, **changes: Any) -> Any:
+        """Submit the default job with some fields changed; returns the API's result."""
         return self.run(self.api().submit(encode(job(**changes))))
 
     def running(self) -> list[str]:
-        """Every task that some worker holds and that has not ended."""
+        """Ids of all tasks that workers have and that have not ended."""
         return sorted(
-            task["head"] for w in self.workers.values() for task in w.tasks.values() if task["standing"] != "ended"
+            task["head"]
+            for worker in self.workers.values()
+            for task in worker.tasks.values()
+            if task["standing"] != "ended"
         )
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""What the entry pages name exists: paths, links, modules that are run, classes."""
+"""Checks that paths, links, modules and classes named in the entry pages of the documentation exist."""
 
 from __future__ import annotations
 
@@ -18,17 +18,18 @@
 CLASS = re.compile(r"\b[A-Z][a-z]+(?:[A-Z][a-z]+)+\b")
 
 
-def text_of(page: str) -> str:
+def read_page(page: str) -> str:
     return (ROOT / page).read_text(encoding="utf-8")
 
 
-def anchors_of(page: Path) -> set[str]:
-    """The headings' anchors, as the usual renderers of Markdown form them."""
+def heading_anchors(page: Path) -> set[str]:
+    """The anchors of a page's headings, as common Markdown renderers form them."""
     headings = re.findall(r"^#+ (.+)$", page.read_text(encoding="utf-8"), re.MULTILINE)
     return {re.sub(r"[^\w -]", "", heading.strip().lower()).replace(" ", "-") for heading in headings}
 
 
 def defined_classes() -> set[str]:
+    """Names of all classes in the source packages."""
     sources = [path for package in PACKAGES for path in (ROOT / package).rglob("*.py")]
     trees = [ast.parse(path.read_text(encoding="utf-8")) for path in sources]
     return {node.name for tree in trees for node in ast.walk(tree) if isinstance(node, ast.ClassDef)}
@@ -36,32 +37,32 @@
 
 @pytest.mark.parametrize("page", PAGES)
 def test_every_path_named_in_a_page_exists(page: str) -> None:
-    named = set(PATH.findall(text_of(page)))
-    missing = [path for path in sorted(named) if not any(ROOT.glob(path))]
-    assert named
+    named_paths = set(PATH.findall(read_page(page)))
+    missing = [path for path in sorted(named_paths) if not any(ROOT.glob(path))]
+    assert named_paths
     assert not missing
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_every_link_of_a_page_leads_to_a_file_and_heading(page: str) -> None:
+def test_every_link_in_a_page_points_to_an_existing_file_and_heading(page: str) -> None:
     broken = []
-    for target, anchor in LINK.findall(text_of(page)):
+    for target, anchor in LINK.findall(read_page(page)):
         if "://" in target:
             continue
         file = (ROOT / page).parent / target
-        if not file.exists() or (anchor and anchor not in anchors_of(file)):
+        if not file.exists() or (anchor and anchor not in heading_anchors(file)):
             broken.append((target, anchor))
     assert not broken
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_every_module_run_in_a_page_can_be_found(page: str) -> None:
-    modules = set(MODULE.findall(text_of(page)))
+def test_every_module_run_in_a_page_can_be_imported(page: str) -> None:
+    modules = set(MODULE.findall(read_page(page)))
     missing = [name for name in sorted(modules) if importlib.util.find_spec(name) is None]
     assert not missing
 
 
 def test_every_class_named_in_the_architecture_page_is_defined() -> None:
-    named = set(CLASS.findall(text_of("docs/architecture.md")))
-    assert named
-    assert not named - defined_classes()
+    named_classes = set(CLASS.findall(read_page("docs/architecture.md")))
+    assert named_classes
+    assert not named_classes - defined_classes()
--- a/tests/test_wire_samples.py
+++ b/tests/test_wire_samples.py
@@ -1,4 +1,4 @@
-"""What is on the wire, in the store and in files stays as it was at commit e82f744, byte for byte."""
+"""Messages, stored records and files are encoded byte for byte as at the reference commit e82f744."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 from tests.support.wire_samples import (
     CODECS,
     ENCODED_ONLY,
-    encode_again,
     make_transaction,
     read_samples,
+    reencode,
     wire_names,
 )
 
 SAMPLES = read_samples()
 RECORDS = [key for key, codec in CODECS.items() if wire_names(codec.message_type)]
 COMPRESSION_DEPENDENT = ('"size"', '"sha256"')
-"""Of a manifest: they follow the compressing library."""
+"""Lines of a manifest that depend on the version of the compression library."""
 
 
 def test_every_sample_has_a_message_and_every_message_a_sample():
@@ -42,68 +42,70 @@
     messages = [name for name in modules if name.endswith(".messages")]
     assert len(messages) == 9
     defined = {
-        found
+        value
         for name in messages
-        for found in vars(importlib.import_module(name)).values()
-        if isinstance(found, type) and issubclass(found, Struct) and found.__module__ == name
+        for value in vars(importlib.import_module(name)).values()
+        if isinstance(value, type) and issubclass(value, Struct) and value.__module__ == name
     }
     assert defined and not defined - sampled
 
 
 @pytest.mark.parametrize("key", CODECS)
-def test_full_sample_is_read_and_written_again_byte_for_byte(key):
-    assert encode_again(CODECS[key], SAMPLES[key]["full"]) == SAMPLES[key]["full"]
+def test_full_sample_is_decoded_and_reencoded_byte_for_byte(key):
+    assert reencode(CODECS[key], SAMPLES[key]["full"]) == SAMPLES[key]["full"]
 
 
 @pytest.mark.parametrize("key", RECORDS)
 def test_sample_with_required_fields_only_gets_the_same_defaults(key):
-    assert encode_again(CODECS[key], SAMPLES[key]["required"]) == SAMPLES[key]["required_encoded"]
+    assert reencode(CODECS[key], SAMPLES[key]["required"]) == SAMPLES[key]["required_encoded"]
 
 
 @pytest.mark.parametrize("key", [*RECORDS, *ENCODED_ONLY])
-def test_names_on_the_wire_and_their_order(key):
+def test_encoded_names_and_their_order_are_unchanged(key):
     message_type = CODECS[key].message_type if key in CODECS else ENCODED_ONLY[key]
     assert wire_names(message_type) == SAMPLES[key]["names"]
 
 
 @pytest.mark.parametrize("key", RECORDS)
-def test_full_sample_sets_every_field_to_what_is_not_its_default(key):
+def test_full_sample_sets_every_field_to_a_value_other_than_its_default(key):
     sample = SAMPLES[key]
     full, required = json.loads(sample["full"]), json.loads(sample["required"])
     defaults = json.loads(sample["required_encoded"])
     if isinstance(full, list):
-        full, required, defaults = (dict(zip(sample["names"], one, strict=False)) for one in (full, required, defaults))
+        full, required, defaults = (
+            dict(zip(sample["names"], values, strict=False)) for values in (full, required, defaults)
+        )
     assert set(full) - {"kind"} | {"kind"} & set(sample["names"]) == set(sample["names"])
     optional = [name for name in sample["names"] if name not in required]
     assert [name for name in optional if name in defaults and full[name] == defaults[name]] == []
 
 
-def test_transaction_is_written_byte_for_byte():
+def test_transaction_is_encoded_byte_for_byte():
     assert encode_store(make_transaction(SAMPLES)).decode() == SAMPLES["store.transaction"]["full"]
 
 
-def test_stored_keys_values_and_tokens():
+def test_stored_keys_values_and_tokens_are_unchanged():
     stored = json.loads((wire_constants.WIRE / "constants.json").read_text(encoding="utf-8"))
-    assert wire_constants.constants() == stored
+    assert wire_constants.collect_constants() == stored
 
 
 def test_settings_files_are_read_as_before():
     stored = json.loads((wire_constants.WIRE / "settings.json").read_text(encoding="utf-8"))
-    assert wire_constants.settings() == stored
+    assert wire_constants.collect_settings() == stored
 
 
-def test_operator_sample_sets_every_element_to_what_is_not_its_default():
+def test_operator_sample_sets_every_element_to_a_value_other_than_its_default():
     stored = json.loads((wire_constants.WIRE / "settings.json").read_text(encoding="utf-8"))
     operator, defaults = stored["operator.xml"], stored["operator defaults"]
     assert operator.keys() == defaults.keys()
     assert [name for name in operator if operator[name] == defaults[name]] == []
 
 
-def test_snapshot_of_before_is_read():
-    source, refused = read_newest(str(wire_constants.SNAPSHOT))
-    assert refused == [] and source is not None
-    written = {key: json.loads(msgspec.json.encode(item)) for key, item in source.items.items()}
-    assert written == {
+def test_snapshot_of_the_reference_commit_is_read():
+    source, rejections = read_newest(str(wire_constants.SNAPSHOT))
+    assert rejections == [] and source is not None
+    entries = {key: json.loads(msgspec.json.encode(item)) for key, item in source.items.items()}
+    assert entries == {
         "w/m-1": {"key": "w/m-1", "data": [2], "mark": 7, "tether": None},
         "e/wk-123456": {"key": "e/wk-123456", "data": {"s": "done", "n": 1}, "mark": 12, "tether": None},
     }
@@ -114,42 +116,44 @@
     names = sorted(path.name for path in wire_constants.SNAPSHOT.iterdir())
     assert sorted(path.name for path in tmp_path.iterdir()) == names and len(names) == 4
     for name in names:
-        then, now = ((folder / name).read_bytes() for folder in (wire_constants.SNAPSHOT, tmp_path))
+        expected, actual = ((folder / name).read_bytes() for folder in (wire_constants.SNAPSHOT, tmp_path))
         if name.endswith(DATA_SUFFIX):
-            assert gzip.decompress(now) == gzip.decompress(then)
+            assert gzip.decompress(actual) == gzip.decompress(expected)
         else:
             assert name.endswith(MANIFEST_SUFFIX)
             lines = [
                 [line for line in text.splitlines() if not line.strip().startswith(COMPRESSION_DEPENDENT)]
-                for text in (now.decode(), then.decode())
+                for text in (actual.decode(), expected.decode())
             ]
             assert lines[0] == lines[1] and len(lines[0]) == 10
 
 
-def framed(text: str) -> bytes:
+def frame_netstring(text: str) -> bytes:
     body = text.encode()
     return b"%d:%s," % (len(body), body)
 
 
 class TcpTransport(StringTransport):
+    """A StringTransport with the TCP option that the peer link sets."""
+
     def setTcpNoDelay(self, on):
-        """Nothing to set."""
+        """Does nothing: the transport has no socket."""
 
 
 @pytest.mark.parametrize(
-    ("question", "answer"),
+    ("request_key", "response"),
     [
         ("leadership.progress_question", '{"kind":"progress","number":1001,"counts":{},"ends":{}}'),
         ("replica.handover_question", '{"kind":"handover","number":1001,"hold":null,"life":""}'),
     ],
 )
-def test_peer_link_frames_messages_as_netstrings(question, answer):
+def test_peer_link_frames_messages_as_netstrings(request_key, response):
     reactor = MemoryReactorClock()
     link = connect_quiet_node(PeerLink(reactor, []))
     link.start(reactor, "127.0.0.1:1")
     factory: Any = reactor.tcpServers[0][1]
-    line = factory.buildProtocol(None)
+    protocol = factory.buildProtocol(None)
     transport = TcpTransport()
-    line.makeConnection(transport)
-    line.dataReceived(framed(SAMPLES[question]["full"]))
-    assert transport.value() == framed(answer)
+    protocol.makeConnection(transport)
+    protocol.dataReceived(frame_netstring(SAMPLES[request_key]["full"]))
+    assert transport.value() == frame_netstring(response)
