--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,5 +1,5 @@
-"""Tools for developers and operators: what the service costs and how far it is from the best possible.
+"""Tools for developers and operators that measure the service's costs and compare its results with the best possible.
 
-Nothing under `meadowcross/` imports them. They run against the project's own stand-ins on a fake clock,
-or on logs; never against a live installation.
+Nothing under `meadowcross/` imports them. They read logs, or run against simulated services on a fake clock; they never
+connect to a live installation.
 """
--- a/benchmarks/bounds.py
+++ b/benchmarks/bounds.py
@@ -1,14 +1,15 @@
-"""How far a day was from the best that any scheduler could have reached.
-
-`python3 -m benchmarks.bounds LOG FACTS [--json]` reads a day's log (see `benchmarks.day`) and a file of facts (TOML:
-`machine_types`, `capacity`, `teams`, `targets`, `warmup_s`), and states for each aim what was reached and a bound that
-nobody could pass: every job and its true run times known beforehand, no failures, no fetches, no lost work,
-all capacity rented at the first submission, its boots as quick as they were seen.
-
-Jobs in time are bounded by a linear program (HiGHS, through scipy): how much of each job's work fits between
-its submission and its due time, within the capacity that is up and its team's limit, jobs cut into pieces at
-will. It is solved twice: for the class alone, and with the work of higher priority served first, as the users
-want. A relaxation, so the true optimum lies below it.
+"""Compares the results of a day with the best that any scheduler could have reached.
+
+`python3 -m benchmarks.bounds LOG FACTS [--json]` reads a day's log (see `benchmarks.day`) and a TOML file of facts
+(`machine_types`, `capacity`, `teams`, `targets`, `warmup_s`). For each target it prints the result and a bound that no
+scheduler can pass. The bound assumes that all jobs and their true run times are known beforehand, that there are no
+failures, image fetches or lost work, and that all machines are created at the first submission and boot as quickly as
+observed.
+
+The share of jobs in time is bounded by a linear program (HiGHS, through scipy): how much of each job's work fits
+between its submission and its due time, within the capacity that is ready and its team's limit, if jobs can be divided
+into pieces of any size. It is solved twice: for the job class alone, and for the capacity that remains once all work of
+higher priority is served. The program is a relaxation, so the true optimum is not above the bound.
 """
 
 from __future__ import annotations
@@ -23,88 +24,103 @@
 from statistics import median
 from typing import Any
 
-from benchmarks.day import Day, DayJob, money, paid, read
+from benchmarks.day import Day, DayJob, attribute_costs, read_day, total_cost
 
 STEP_S = 4.0
-ORDER = {"critical": 0, "urgent": 1, "normal": 2, "idle": 3}
+"""Length of a time step of the linear program."""
+PRIORITY_RANK = {"critical": 0, "urgent": 1, "normal": 2, "idle": 3}
 
 
 @dataclass(slots=True)
 class Facts:
-    """What could be rented: CPUs, price an hour and boots by (type, spot); limits by team."""
+    """What the cloud offers, by machine type or by (type, spot); CPU limits by team; targets as in the file."""
 
     cpus: dict[str, float]
-    price: dict[tuple[str, bool], float]
-    count: dict[tuple[str, bool], int]
+    price_per_hour: dict[tuple[str, bool], float]
+    machine_counts: dict[tuple[str, bool], int]
     boot_s: dict[str, float]
-    limit: dict[str, float]
+    cpu_limits: dict[str, float]
     targets: list[dict[str, Any]]
-    counted_from: float = 0.0
-    """Times of jobs submitted earlier in the day are counted from this second."""
+    counted_from_s: float = 0.0
+    """The times of jobs that were submitted before this second of the day are measured from it."""
 
 
 class FactsError(Exception):
-    """The facts can't be used; says the file and what is missing."""
+    """The file of facts can't be used; the message names the file and the error."""
 
 
-def facts_from(path: str) -> Facts:
+def read_facts(path: str) -> Facts:
+    """Reads a file of facts. Raises FactsError if it can't be read or lacks a key."""
     try:
         with open(path, "rb") as file:
-            site = tomllib.load(file)
-        types = site["machine_types"]
-        count: dict[tuple[str, bool], int] = {}
-        for one in site["capacity"]:
+            content = tomllib.load(file)
+        types = content["machine_types"]
+        machine_counts: dict[tuple[str, bool], int] = {}
+        for capacity in content["capacity"]:
             for spot, key in ((True, "spot"), (False, "count")):
-                kind = (one["type"], spot)
-                count[kind] = count.get(kind, 0) + int(one.get(key, 0))
+                kind = (capacity["type"], spot)
+                machine_counts[kind] = machine_counts.get(kind, 0) + int(capacity.get(key, 0))
         return Facts(
-            {t["name"]: float(t["cpus"]) for t in types},
-            {(t["name"], spot): float(t["spot_price" if spot else "price"]) for t in types for spot in (True, False)},
-            count,
-            {t["name"]: float(t["boot_s"]) for t in types},
-            {t["name"]: float(t["cpus_max"]) for t in site.get("teams", ()) if t.get("cpus_max")},
-            list(site.get("targets", ())),
-            float(site.get("warmup_s", 0.0)),
+            {machine_type["name"]: float(machine_type["cpus"]) for machine_type in types},
+            {
+                (machine_type["name"], spot): float(machine_type["spot_price" if spot else "price"])
+                for machine_type in types
+                for spot in (True, False)
+            },
+            machine_counts,
+            {machine_type["name"]: float(machine_type["boot_s"]) for machine_type in types},
+            {team["name"]: float(team["cpus_max"]) for team in content.get("teams", ()) if team.get("cpus_max")},
+            list(content.get("targets", ())),
+            float(content.get("warmup_s", 0.0)),
         )
     except (OSError, tomllib.TOMLDecodeError, KeyError, TypeError, ValueError) as error:
         raise FactsError(f"{path}: {type(error).__name__}: {error}") from error
 
 
 def capacity_curve(day: Day, facts: Facts) -> Callable[[float], float]:
-    """CPUs that can be up at a time of the day, everything rented at the first submission: boots as
-    quick as those seen for the type, in the same spread, but as stated where none was seen."""
-    first = min((job.submitted for job in day.jobs.values()), default=0.0)
-    boots: dict[str, list[float]] = {name: [] for name in facts.cpus}
-    for machine in day.machines.values():
-        if machine.up is not None and machine.kind[0] in boots:
-            boots[machine.kind[0]].append(machine.up - machine.rented)
-    total = {name: sum(n for (t, _), n in facts.count.items() if t == name) * cpus for name, cpus in facts.cpus.items()}
+    """The number of CPUs that can be ready at a time of the day, if all machines are created at the first submission.
 
-    def up(at: float) -> float:
+    Boot times have the distribution that the day's log shows for the type; the stated boot time where it shows none.
+    """
+    first_submitted_at = min((job.submitted_at for job in day.jobs.values()), default=0.0)
+    boot_times_s: dict[str, list[float]] = {name: [] for name in facts.cpus}
+    for machine in day.machines.values():
+        if machine.ready_at is not None and machine.kind[0] in boot_times_s:
+            boot_times_s[machine.kind[0]].append(machine.ready_at - machine.created_at)
+    total_cpus = {
+        name: sum(count for (type_name, _), count in facts.machine_counts.items() if type_name == name) * cpus
+        for name, cpus in facts.cpus.items()
+    }
+
+    def ready_cpus(at: float) -> float:
         cpus = 0.0
-        for name, seen in boots.items():
+        for name, observed_s in boot_times_s.items():
             share = (
-                sum(1 for boot in seen if first + boot <= at) / len(seen)
-                if seen
-                else float(first + facts.boot_s[name] <= at)
+                sum(1 for boot_s in observed_s if first_submitted_at + boot_s <= at) / len(observed_s)
+                if observed_s
+                else float(first_submitted_at + facts.boot_s[name] <= at)
             )
-            cpus += share * total[name]
+            cpus += share * total_cpus[name]
         return cpus
 
-    return up
+    return ready_cpus
 
 
-def work_of(job: DayJob) -> tuple[float, float]:
-    """CPU seconds of the job, and its longest task: true run times where its tasks were done."""
-    runs = job.run_s
-    if not runs:
+def job_work(job: DayJob) -> tuple[float, float]:
+    """The CPU seconds of the job and the run time of its longest task: actual run times if a task was done."""
+    run_times_s = job.completed_run_times_s
+    if not run_times_s:
         return job.tasks * job.cpus * job.estimate_s, job.estimate_s
-    return job.tasks * job.cpus * sum(runs) / len(runs), runs[-1]
+    return job.tasks * job.cpus * sum(run_times_s) / len(run_times_s), run_times_s[-1]
+
 
+def bound_jobs_in_time(
+    jobs: Sequence[DayJob], due_at: Sequence[float], free: Sequence[float], first_ready_at: float
+) -> float:
+    """An upper bound for the number of these jobs that can be done by their due times; may be a fraction.
 
-def in_time(jobs: Sequence[DayJob], dues: Sequence[float], free: Sequence[float], first_up: float) -> float:
-    """The most of these jobs that can be done by their due times (seconds of the day), in steps of STEP_S
-    with `free` CPUs in each; a whole number of jobs or a fraction above it."""
+    `due_at`: seconds of the day; `free`: CPUs in each step of STEP_S. Raises ArithmeticError if the solver fails.
+    """
     import numpy
     from scipy.optimize import linprog
     from scipy.sparse import coo_matrix
@@ -116,165 +132,207 @@
     bounds: list[tuple[float, float]] = []
     equal: tuple[list[int], list[int], list[float]] = ([], [], [])
     cost: list[float] = []
-    whole = 0
-    for job, due in zip(jobs, dues, strict=True):
-        work, longest = work_of(job)
-        begin = max(job.submitted, first_up)
-        if begin + longest > due + 1e-6:
+    feasible_count = 0
+    for job, due in zip(jobs, due_at, strict=True):
+        work, longest_s = job_work(job)
+        begin_at = max(job.submitted_at, first_ready_at)
+        if begin_at + longest_s > due + 1e-6:
             continue
-        # Its own share done, then a variable for each step that it may work in.
+        # One variable for the share of the job that is done, then one for the work in each step before its due time.
         share = len(bounds)
         bounds.append((0.0, 1.0))
         cost.append(-1.0)
-        equal[0].append(whole)
+        equal[0].append(feasible_count)
         equal[1].append(share)
         equal[2].append(-work)
-        for step in range(int(begin // STEP_S), min(len(free), ceil(due / STEP_S))):
-            inside = min(due, (step + 1) * STEP_S) - max(begin, step * STEP_S)
-            if inside <= 0:
+        for step in range(int(begin_at // STEP_S), min(len(free), ceil(due / STEP_S))):
+            usable_s = min(due, (step + 1) * STEP_S) - max(begin_at, step * STEP_S)
+            if usable_s <= 0:
                 continue
             column = len(bounds)
-            bounds.append((0.0, job.tasks * job.cpus * inside))
+            bounds.append((0.0, job.tasks * job.cpus * usable_s))
             cost.append(0.0)
-            equal[0].append(whole)
+            equal[0].append(feasible_count)
             equal[1].append(column)
             equal[2].append(1.0)
             rows.append(step)
             columns.append(column)
             values.append(1.0)
-        whole += 1
-    if not whole:
+        feasible_count += 1
+    if not feasible_count:
         return 0.0
     limits = [cpus * STEP_S for cpus in free]
     upper = coo_matrix((values, (rows, columns)), shape=(len(free), len(bounds)))
-    parts = coo_matrix((equal[2], (equal[0], equal[1])), shape=(whole, len(bounds)))
-    found = linprog(
-        numpy.array(cost), A_ub=upper, b_ub=limits, A_eq=parts, b_eq=numpy.zeros(whole), bounds=bounds, method="highs"
+    equalities = coo_matrix((equal[2], (equal[0], equal[1])), shape=(feasible_count, len(bounds)))
+    solution = linprog(
+        numpy.array(cost),
+        A_ub=upper,
+        b_ub=limits,
+        A_eq=equalities,
+        b_eq=numpy.zeros(feasible_count),
+        bounds=bounds,
+        method="highs",
     )
-    if found.status != 0:
-        raise ArithmeticError(f"the bound was not solved: {found.message}")
-    return float(-found.fun)
-
-
-def served_first(jobs: Sequence[DayJob], free: Sequence[float], first_up: float) -> list[float]:
-    """What is left of `free` once these jobs took what they can use, as soon as they can."""
-    left = list(free)
-    for job in sorted(jobs, key=lambda one: one.submitted):
-        work, _ = work_of(job)
-        begin = max(job.submitted, first_up)
-        for step in range(int(begin // STEP_S), len(left)):
+    if solution.status != 0:
+        raise ArithmeticError(f"the linear program was not solved: {solution.message}")
+    return float(-solution.fun)
+
+
+def remaining_capacity(jobs: Sequence[DayJob], free: Sequence[float], first_ready_at: float) -> list[float]:
+    """The CPUs of `free` that remain in each step once these jobs have run.
+
+    Jobs run in order of submission and as early as they can, but not before `first_ready_at`, in seconds of the day.
+    """
+    remaining = list(free)
+    for job in sorted(jobs, key=lambda candidate: candidate.submitted_at):
+        work, _ = job_work(job)
+        begin_at = max(job.submitted_at, first_ready_at)
+        for step in range(int(begin_at // STEP_S), len(remaining)):
             if work <= 0:
                 break
-            taken = min(left[step], job.tasks * job.cpus, work / STEP_S)
-            left[step] -= taken
-            work -= taken * STEP_S
-    return left
+            used = min(remaining[step], job.tasks * job.cpus, work / STEP_S)
+            remaining[step] -= used
+            work -= used * STEP_S
+    return remaining
 
 
 @dataclass(slots=True)
-class Line:
+class Comparison:
+    """One row of the output; the field names are the keys of the JSON output."""
+
     aim: str
+    """Name of the target."""
     users: float | None
+    """The value that the users want."""
     ours: float
+    """The value that the day reached."""
     alone: float
-    """The bound for the class by itself."""
+    """The bound for the job class by itself."""
     ranked: float
-    """The bound with higher priority served first."""
+    """The bound once all work of higher priority is served."""
 
 
-def _deadline(
-    day: Day, target: dict[str, Any], free: list[float], limit: float, first_up: float, counted_from: float
-) -> Line | None:
+def _compare_deadline(
+    day: Day, target: dict[str, Any], free: list[float], limit: float, first_ready_at: float, counted_from_s: float
+) -> Comparison | None:
+    """The share of a class's done jobs that met the target; None if no job has such a target."""
     kind, job_class = target["kind"], target.get("class")
     times = float(target.get("times", 1.0))
 
-    def due(job: DayJob) -> float | None:
+    def due_after_s(job: DayJob) -> float | None:
         if kind == "finished":
             return float(target["within_s"])
         return times * job.due_s if job.due_s is not None else None
 
-    jobs = [j for j in day.jobs.values() if j.job_class == job_class and j.standing == "done" and due(j) is not None]
+    jobs = [
+        day_job
+        for day_job in day.jobs.values()
+        if day_job.job_class == job_class and day_job.state == "done" and due_after_s(day_job) is not None
+    ]
     if not jobs:
         return None
-    dues = [max(job.submitted, counted_from) + (due(job) or 0.0) for job in jobs]
-    ours = sum(1 for job, at in zip(jobs, dues, strict=True) if job.ended is not None and job.ended <= at)
-    mine = [min(limit, cpus) for cpus in free]
-    rank = ORDER[jobs[0].priority]
-    before = [j for j in day.jobs.values() if ORDER[j.priority] < rank and j.standing == "done"]
-    left = [min(limit, cpus) for cpus in served_first(before, free, first_up)]
+    due_at = [max(job.submitted_at, counted_from_s) + (due_after_s(job) or 0.0) for job in jobs]
+    in_time = sum(1 for job, due in zip(jobs, due_at, strict=True) if job.ended_at is not None and job.ended_at <= due)
+    usable = [min(limit, cpus) for cpus in free]
+    rank = PRIORITY_RANK[jobs[0].priority]
+    higher = [
+        day_job for day_job in day.jobs.values() if PRIORITY_RANK[day_job.priority] < rank and day_job.state == "done"
+    ]
+    remaining = [min(limit, cpus) for cpus in remaining_capacity(higher, free, first_ready_at)]
     name = f"{job_class} within {target['within_s']:g} s" if kind == "finished" else f"{job_class} by {times:g} x due"
-    return Line(
+    return Comparison(
         name,
         target.get("share"),
-        ours / len(jobs),
-        in_time(jobs, dues, mine, first_up) / len(jobs),
-        in_time(jobs, dues, left, first_up) / len(jobs),
+        in_time / len(jobs),
+        bound_jobs_in_time(jobs, due_at, usable, first_ready_at) / len(jobs),
+        bound_jobs_in_time(jobs, due_at, remaining, first_ready_at) / len(jobs),
     )
 
 
-def lines_of(day: Day, facts: Facts, spent: dict[str, float]) -> list[Line]:
-    """Per aim on times, useful money, price and the end of all work."""
+def compare_day(day: Day, facts: Facts, costs: dict[str, float]) -> list[Comparison]:
+    """A row for each target on times, then for useful money, price and the end of all work; empty without jobs."""
     if not day.jobs:
         return []
     curve = capacity_curve(day, facts)
-    steps = ceil(day.ends / STEP_S)
-    free = [curve((step + 0.5) * STEP_S) for step in range(steps)]
-    first_up = next((step * STEP_S for step, cpus in enumerate(free) if cpus > 0), day.ends)
-    done = [job for job in day.jobs.values() if job.standing == "done"]
-    teams = {job.job_class: job.team for job in done}
-    lines = []
+    step_count = ceil(day.ends_at / STEP_S)
+    free = [curve((step + 0.5) * STEP_S) for step in range(step_count)]
+    first_ready_at = next((step * STEP_S for step, cpus in enumerate(free) if cpus > 0), day.ends_at)
+    done_jobs = [job for job in day.jobs.values() if job.state == "done"]
+    teams = {job.job_class: job.team for job in done_jobs}
+    rows = []
     for target in facts.targets:
         if target["kind"] in ("deadline", "finished") and target.get("class") in teams:
-            limit = facts.limit.get(teams[target["class"]], float("inf"))
-            line = _deadline(day, target, free, limit, first_up, facts.counted_from)
-            if line is not None:
-                lines.append(line)
-    end = max((job.ended or 0.0 for job in done), default=0.0)
-    lines += _money_lines(day, facts, spent, done, end - first_up)
-    # All work done: no sooner than its longest chain, nor than all capacity can.
-    chain = max((max(j.submitted, first_up) + work_of(j)[1] for j in done), default=0.0)
-    rest = served_first(done, free, first_up)
-    used = [step for step in range(steps) if rest[step] < free[step] - 1e-9]
-    fluid = (used[-1] + 1) * STEP_S if used else 0.0
-    lines.append(Line("all work done (s)", None, end, max(chain, fluid), max(chain, fluid)))
-    return lines
-
-
-def _money_lines(day: Day, facts: Facts, spent: dict[str, float], done: Sequence[DayJob], lasted: float) -> list[Line]:
-    all_paid = paid(spent)
-    if all_paid <= 0:
+            limit = facts.cpu_limits.get(teams[target["class"]], float("inf"))
+            row = _compare_deadline(day, target, free, limit, first_ready_at, facts.counted_from_s)
+            if row is not None:
+                rows.append(row)
+    end_at = max((job.ended_at or 0.0 for job in done_jobs), default=0.0)
+    rows += _compare_costs(day, facts, costs, done_jobs, end_at - first_ready_at)
+    # All work ends no earlier than each job's longest task can end, and no earlier than the capacity can complete it.
+    longest_end_at = max(
+        (max(done_job.submitted_at, first_ready_at) + job_work(done_job)[1] for done_job in done_jobs), default=0.0
+    )
+    remaining = remaining_capacity(done_jobs, free, first_ready_at)
+    used_steps = [step for step in range(step_count) if remaining[step] < free[step] - 1e-9]
+    capacity_end_at = (used_steps[-1] + 1) * STEP_S if used_steps else 0.0
+    rows.append(
+        Comparison(
+            "all work done (s)",
+            None,
+            end_at,
+            max(longest_end_at, capacity_end_at),
+            max(longest_end_at, capacity_end_at),
+        )
+    )
+    return rows
+
+
+def _compare_costs(
+    day: Day, facts: Facts, costs: dict[str, float], done_jobs: Sequence[DayJob], duration_s: float
+) -> list[Comparison]:
+    """Rows for useful money and price; empty if nothing was paid. `duration_s`: from the first ready CPU to the end."""
+    paid = total_cost(costs)
+    if paid <= 0:
         return []
-    # The least that must be paid beside the work: one boot of the fewest CPUs that can do all of
-    # it between the first that is up and the last end seen.
-    work = sum(work_of(job)[0] for job in done)
-    cheapest = min(facts.price[kind] / facts.cpus[kind[0]] for kind in facts.price if facts.count.get(kind))
-    boots = [m.up - m.rented for m in day.machines.values() if m.up is not None]
-    boot = median(boots) if boots else 0.0
-    least = work + boot * work / max(1.0, lasted)
-    useful = spent.get("useful", 0.0) / all_paid
-    price = all_paid * 3600.0 / (work * cheapest) if work else 0.0
+    # Beside the work, at least one boot must be paid of the fewest CPUs that can complete all work between the first
+    # ready CPU and the end of the last job.
+    work = sum(job_work(job)[0] for job in done_jobs)
+    cheapest = min(
+        facts.price_per_hour[kind] / facts.cpus[kind[0]]
+        for kind in facts.price_per_hour
+        if facts.machine_counts.get(kind)
+    )
+    boot_times_s = [
+        machine.ready_at - machine.created_at for machine in day.machines.values() if machine.ready_at is not None
+    ]
+    boot_s = median(boot_times_s) if boot_times_s else 0.0
+    least = work + boot_s * work / max(1.0, duration_s)
+    useful = costs.get("useful", 0.0) / paid
+    price = paid * 3600.0 / (work * cheapest) if work else 0.0
     return [
-        Line("useful money (saved work not counted)", None, useful, work / least, work / least),
-        Line("price", None, price, least / work if work else 0.0, least / work if work else 0.0),
+        Comparison("useful money (saved work not counted)", None, useful, work / least, work / least),
+        Comparison("price", None, price, least / work if work else 0.0, least / work if work else 0.0),
     ]
 
 
-def parser() -> argparse.ArgumentParser:
-    options = argparse.ArgumentParser(
+def build_parser() -> argparse.ArgumentParser:
+    """The parser of the command line."""
+    parser = argparse.ArgumentParser(
         prog="python3 -m benchmarks.bounds", description="A day against the best possible."
     )
-    options.add_argument("log", metavar="LOG", help="the nodes' logs of the day, level debug, each line with its time")
-    options.add_argument("facts", metavar="FACTS", help="TOML with machine_types, capacity, teams and targets")
-    options.add_argument("--json", action="store_true", help="a list of objects instead of a table")
-    return options
+    parser.add_argument("log", metavar="LOG", help="the nodes' logs of the day, level debug, each line with its time")
+    parser.add_argument("facts", metavar="FACTS", help="TOML with machine_types, capacity, teams and targets")
+    parser.add_argument("--json", action="store_true", help="a list of objects instead of a table")
+    return parser
 
 
 def main(arguments: list[str]) -> int:
-    options = parser().parse_args(arguments)
+    """Prints the comparison; returns 0, or 2 if an input can't be used."""
+    options = build_parser().parse_args(arguments)
     try:
-        facts = facts_from(options.facts)
+        facts = read_facts(options.facts)
         with open(options.log, encoding="utf-8", errors="replace") as file:
-            day = read(file)
+            day = read_day(file)
     except (FactsError, OSError) as error:
         print(f"benchmarks.bounds: {error}", file=sys.stderr)
         return 2
@@ -283,18 +341,18 @@
             f"benchmarks.bounds: {options.log}: no job was accepted there; is it a log at level debug?", file=sys.stderr
         )
         return 2
-    spent = money(day, facts.price, facts.cpus)
-    lines = lines_of(day, facts, spent)
+    costs = attribute_costs(day, facts.price_per_hour, facts.cpus)
+    rows = compare_day(day, facts, costs)
     if options.json:
-        print(json.dumps([{f: getattr(line, f) for f in Line.__slots__} for line in lines]))
+        print(json.dumps([{name: getattr(row, name) for name in Comparison.__slots__} for row in rows]))
         return 0
     print("| aim | users' | ours | bound, alone | bound, by priority |\n| --- | --- | --- | --- | --- |")
-    for line in lines:
-        users = "" if line.users is None else f"{line.users:g}"
-        print(f"| {line.aim} | {users} | {line.ours:.3f} | {line.alone:.3f} | {line.ranked:.3f} |")
+    for row in rows:
+        users = "" if row.users is None else f"{row.users:g}"
+        print(f"| {row.aim} | {users} | {row.ours:.3f} | {row.alone:.3f} | {row.ranked:.3f} |")
     print("\n| where the money went | share |\n| --- | --- |")
-    for key, value in sorted(spent.items(), key=lambda item: -item[1]):
-        print(f"| {key} | {value / paid(spent):.1%} |")
+    for key, value in sorted(costs.items(), key=lambda item: -item[1]):
+        print(f"| {key} | {value / total_cost(costs):.1%} |")
     return 0
 
 
--- a/benchmarks/cancels.py
+++ b/benchmarks/cancels.py
@@ -1,6 +1,8 @@
-"""What withholding costs: `python3 -m benchmarks.cancels LOG [--json]`. Of each cancel that was stored, how long its
-user waited for the answer, from the log of `benchmarks.day` at `info`. Times of different nodes are compared as they
-stand."""
+"""Measures how long users waited for the response to a cancellation: `python3 -m benchmarks.cancels LOG [--json]`.
+
+A response is withheld until the tasks of the job are proven gone. The wait of each stored cancellation is read from a
+log as for `benchmarks.day`, at level `info`. The clocks of different controllers are not corrected.
+"""
 
 from __future__ import annotations
 
@@ -11,35 +13,39 @@
 from collections.abc import Iterable
 from typing import Any
 
-from benchmarks.day import LINE
+from benchmarks.day import LOG_LINE
 
 STORED = re.compile(r"job (\S+) cancelled$")
 TOLD = re.compile(r"job (\S+): its user is told of the cancel")
 WITHHELD = re.compile(r"job (\S+): its cancel is stored and not told yet")
 ENDED = re.compile(r"job (\S+) ended: cancelled")
 LATE_S = 1.0
+"""A longer wait counts as late."""
+
 
+def measure_waits(lines: Iterable[str]) -> dict[str, Any]:
+    """Counts of cancellations and quantiles of the waits in seconds, keyed as they are printed.
 
-def cancels(lines: Iterable[str]) -> dict[str, Any]:
-    """A job that ended before its node had asked who leads has no line of being told: its end stands in."""
+    A job that ended before its controller had found the leader has no line for the response: its end counts instead.
+    """
     stored: dict[str, float] = {}
-    told: dict[str, float] = {}
+    responded: dict[str, float] = {}
     ended: dict[str, float] = {}
     withheld: dict[str, int] = {}
     for line in lines:
-        if (read := LINE.match(line)) is None:
+        if (log_line := LOG_LINE.match(line)) is None:
             continue
-        at, text = float(read[1]), read[5]
-        if (found := STORED.match(text)) is not None:
-            stored.setdefault(found[1], at)
-        elif (found := TOLD.match(text)) is not None:
-            told.setdefault(found[1], at)
-        elif (found := WITHHELD.match(text)) is not None:
-            withheld[found[1]] = withheld.get(found[1], 0) + 1
-        elif (found := ENDED.match(text)) is not None:
-            ended.setdefault(found[1], at)
-    told = ended | told
-    waits = sorted(told[job] - at for job, at in stored.items() if job in told)
+        at, text = float(log_line[1]), log_line[5]
+        if (match := STORED.match(text)) is not None:
+            stored.setdefault(match[1], at)
+        elif (match := TOLD.match(text)) is not None:
+            responded.setdefault(match[1], at)
+        elif (match := WITHHELD.match(text)) is not None:
+            withheld[match[1]] = withheld.get(match[1], 0) + 1
+        elif (match := ENDED.match(text)) is not None:
+            ended.setdefault(match[1], at)
+    responded = ended | responded
+    waits = sorted(responded[job] - at for job, at in stored.items() if job in responded)
 
     def quantile(share: float) -> float | None:
         return round(waits[min(len(waits) - 1, int(share * len(waits)))], 3) if waits else None
@@ -56,17 +62,18 @@
 
 
 def main(arguments: list[str]) -> int:
-    options = argparse.ArgumentParser(prog="python3 -m benchmarks.cancels", description="How long users waited.")
-    options.add_argument("log", metavar="LOG", help="the nodes' logs of the day, level info, each line with its time")
-    options.add_argument("--json", action="store_true", help="an object instead of lines")
-    given = options.parse_args(arguments)
+    """Prints the waits; returns 0, or 2 if the log can't be read."""
+    parser = argparse.ArgumentParser(prog="python3 -m benchmarks.cancels", description="How long users waited.")
+    parser.add_argument("log", metavar="LOG", help="the nodes' logs of the day, level info, each line with its time")
+    parser.add_argument("--json", action="store_true", help="an object instead of lines")
+    options = parser.parse_args(arguments)
     try:
-        with open(given.log, encoding="utf-8", errors="replace") as file:
-            found = cancels(file)
+        with open(options.log, encoding="utf-8", errors="replace") as file:
+            waits = measure_waits(file)
     except OSError as error:
-        print(f"benchmarks.cancels: {given.log}: can't be read: {error.strerror}", file=sys.stderr)
+        print(f"benchmarks.cancels: {options.log}: can't be read: {error.strerror}", file=sys.stderr)
         return 2
-    print(json.dumps(found) if given.json else "\n".join(f"{name}: {value}" for name, value in found.items()))
+    print(json.dumps(waits) if options.json else "\n".join(f"{name}: {value}" for name, value in waits.items()))
     return 0
 
 
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -1,9 +1,9 @@
-"""What a leader's work costs against the number of machines.
+"""Measures what a leader's work costs by the number of machines.
 
-`python3 -m benchmarks.cost [--sizes 50,500] [--json]` builds, for each size and in a process of its own, a
-leader's term over the project's stand-ins on a fake clock, with the fleet running and jobs waiting, and
-measures the processor time of single pieces of work. The stand-ins' own time is taken off. Figures are
-processor time of this machine, not of a deployment's share: divide by the share.
+`python3 -m benchmarks.cost [--sizes 50,500] [--json]` builds a leader's term for each size, in a process of its own,
+with simulated services on a fake clock, all machines running and jobs waiting. It measures the processor time of single
+operations, without that of the simulated services. The figures are for a whole core of this machine; for a
+deployment that has a share of a core, divide them by the share.
 """
 
 from __future__ import annotations
@@ -23,11 +23,12 @@
 from msgspec import to_builtins
 
 SIZES = (50, 125, 250, 500, 1000, 2000)
-TASKS_EACH = 8
+TASKS_PER_MACHINE = 8
 """Tasks that run on each machine at the start."""
 ROUNDS = 30
-WAITING = 40
-"""Jobs that wait for room that is not there: what every pass finds besides what is new."""
+"""How often each operation is measured; the table shows the median."""
+WAITING_JOBS = 40
+"""Pending jobs for which there are no free resources; each placement pass considers them beside the new jobs."""
 
 HEADINGS = {
     "machines": "machines",
@@ -47,12 +48,13 @@
 
 
 def resident_mb() -> float:
+    """Resident memory of this process in MB of 2**20 bytes."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * 4096 / 2**20
 
 
 def _fill(world: Any, machines: int) -> None:
-    """What an earlier leader left in the store, and workers that run it."""
+    """Stores the jobs, tasks and machines of a previous leader, and starts workers that run the tasks."""
     from meadowcross.autoscaling.messages import MachineRecord
     from meadowcross.common.types import Address, WallTime
     from tests.support.world import job
@@ -76,47 +78,47 @@
         record = to_builtins(MachineRecord("large", "east", True, WallTime(900.0), Address(f"{name}:9000")))
         writes.append({"write": "w/" + name, "data": record})
         tasks = []
-        identity = f"wk-1{number:05d}"
-        for task in range(TASKS_EACH):
-            key = (f"{identity}/{task}", 1)
+        job_id = f"wk-1{number:05d}"
+        for task in range(TASKS_PER_MACHINE):
+            key = (f"{job_id}/{task}", 1)
             world.workers[name].tasks[key] = {"head": key[0], "round": 1, "standing": "running"}
             tasks.append([1, name])
-        # All room is taken, by tasks that nothing here may stop.
-        spec = job(id=identity, heads=TASKS_EACH, cpus=2.0, grazeS=600.0, sundownS=None, rank="urgent")
-        writes.append({"write": "j/" + identity, "data": {"spec": spec, "t": 900.0, "k": 256}})
-        writes.append({"write": f"t/{identity}/00000", "data": tasks})
-    for number in range(WAITING):
+        # These tasks use all resources, and nothing here may preempt them.
+        spec = job(id=job_id, heads=TASKS_PER_MACHINE, cpus=2.0, grazeS=600.0, sundownS=None, rank="urgent")
+        writes.append({"write": "j/" + job_id, "data": {"spec": spec, "t": 900.0, "k": 256}})
+        writes.append({"write": f"t/{job_id}/00000", "data": tasks})
+    for number in range(WAITING_JOBS):
         spec = job(id=f"wk-2{number:05d}", heads=50, cpus=1.0 + number % 7, rank="idle", grazeS=600.0, sundownS=None)
         writes.append({"write": "j/" + spec["id"], "data": {"spec": spec, "t": 950.0, "k": 256}})
     state.transact({"if": [], "writes": writes})
     state.txn_ops = 24
-    # What waits could be rented for; none of that is measured here.
+    # Machines could be created for the waiting jobs; that is not measured here.
     world.cloud.full = True
 
 
 class Meter:
-    """Processor time, less what the stand-ins took meanwhile."""
+    """Measures processor time without that of the simulated services."""
 
     def __init__(self, world: Any) -> None:
-        self.spent = 0.0
+        self.services_s = 0.0
         handlers = {host: self._timed(handle) for host, handle in world.net.hosts.items()}
         world.net.hosts.update(handlers)
 
     def _timed(self, handle: Callable[..., Any]) -> Callable[..., Any]:
         def timed(*arguments: Any) -> Any:
-            began = time.process_time()
+            began_s = time.process_time()
             try:
                 return handle(*arguments)
             finally:
-                self.spent += time.process_time() - began
+                self.services_s += time.process_time() - began_s
 
         return timed
 
-    def of(self, work: Callable[[], Any]) -> float:
-        """Seconds of processor time that the work took."""
-        before, began = self.spent, time.process_time()
+    def measure(self, work: Callable[[], Any]) -> float:
+        """Runs `work`; returns the seconds of processor time that it took."""
+        services_before_s, began_s = self.services_s, time.process_time()
         work()
-        return time.process_time() - began - (self.spent - before)
+        return time.process_time() - began_s - (self.services_s - services_before_s)
 
 
 def measure(machines: int) -> dict[str, float]:
@@ -133,9 +135,9 @@
     _fill(world, machines)
     meter = Meter(world)
     gc.collect()
-    empty = resident_mb()
+    empty_mb = resident_mb()
 
-    # A takeover, until a job that came meanwhile has its first task stored.
+    # A takeover, until the first task of a job that was submitted before it starts.
     world.submit(id="wk-000009", heads=1, cpus=0.5, memoryGb=0.5, rank="critical")
     for worker in list(world.workers.values())[:2]:
         worker.tasks.popitem()
@@ -143,91 +145,101 @@
     def take_over() -> None:
         world.lead()
         for _ in range(4000):
-            if any(key[0].startswith("wk-000009") for w in world.workers.values() for key in w.started):
+            if any(
+                key[0].startswith("wk-000009")
+                for running_worker in world.workers.values()
+                for key in running_worker.started
+            ):
                 return
             world.clock.advance(0.01)
         raise AssertionError("nothing was placed")
 
-    took = meter.of(take_over)
+    takeover_s = meter.measure(take_over)
     term = world.term
     assert term is not None
     for _ in range(100):
         world.clock.advance(0.05)
-        if all(m.proof.has_confirmed_token for m in term.worker_registry.machines.values()):
+        if all(machine.proof.has_confirmed_token for machine in term.worker_registry.machines.values()):
             break
     gc.collect()
-    held = resident_mb() - empty
+    term_mb = resident_mb() - empty_mb
 
     api = WorkerApi(lambda: term.handle_heartbeat, lambda: NodeName("n0"), HeartbeatTracker(world.clock, 4.75))
     workers = list(world.workers.values())
 
-    def report(worker: Any) -> float:
+    def measure_heartbeat(worker: Any) -> float:
         body = encode(worker.report())
-        return meter.of(lambda: api.handle_heartbeat(body))
+        return meter.measure(lambda: api.handle_heartbeat(body))
 
     for worker in workers:
-        report(worker)
+        measure_heartbeat(worker)
     gc.collect()
     histogram = HdrHistogram(1, 10_000_000, 3)
     for number in range(3000):
-        histogram.record_value(max(1, int(report(workers[number % len(workers)]) * 1e9)))
+        histogram.record_value(max(1, int(measure_heartbeat(workers[number % len(workers)]) * 1e9)))
 
     def settle() -> None:
-        """Let all reports, answers and watches come; passes only where they were asked for."""
+        """Handle a heartbeat of each worker, and advance the clock so that pending responses and watches arrive."""
         for worker in workers:
             term.handle_heartbeat(decode_heartbeat(encode(worker.report())))
         for _ in range(10):
             world.clock.advance(0.05)
 
-    # Every pass is asked for by hand from here on: the ticks would add their own.
+    # From here on, each pass is run explicitly: ticks would run additional passes.
     term.maintenance_loop.stop()
     term.autoscaler._tick.stop()
     settle()
-    idle = [meter.of(term.scheduling_loop.run_pass) for _ in range(ROUNDS)]
-    ticks = [meter.of(term.maintenance_loop.tick) for _ in range(ROUNDS)]
+    idle_passes = [meter.measure(term.scheduling_loop.run_pass) for _ in range(ROUNDS)]
+    ticks = [meter.measure(term.maintenance_loop.tick) for _ in range(ROUNDS)]
     changed: list[float] = []
     passes: dict[int, list[float]] = {1: [], 10: []}
-    identity = 300_000
-    # One task of each machine after the other, so that room comes free on as many machines.
-    ended = iter([(w, (f"wk-1{n:05d}/{task}", 1)) for task in range(4, 0, -1) for n, w in enumerate(workers)])
+    job_number = 300_000
+    # One task of each machine in turn, so that resources become free on as many machines as possible.
+    tasks_to_end = iter(
+        [
+            (running_worker, (f"wk-1{index:05d}/{task}", 1))
+            for task in range(4, 0, -1)
+            for index, running_worker in enumerate(workers)
+        ]
+    )
     for count in (1, 10):
         for _ in range(ROUNDS // 3):
             settle()
-            # No pass until the new job is there: else what waits would take the room.
-            pending, term.pass_trigger.is_scheduled = term.pass_trigger.is_scheduled, True
+            # No pass until the new job is known: otherwise waiting jobs would use the free resources.
+            was_scheduled, term.pass_trigger.is_scheduled = term.pass_trigger.is_scheduled, True
             for _ in range(count):
-                worker, key = next(ended)
+                worker, key = next(tasks_to_end)
                 worker.end(key)
-                changed.append(report(worker))
-            identity += 1
-            spec = job(id=f"wk-{identity}", heads=count, cpus=2.0, rank="critical", grazeS=600.0, sundownS=None)
+                changed.append(measure_heartbeat(worker))
+            job_number += 1
+            spec = job(id=f"wk-{job_number}", heads=count, cpus=2.0, rank="critical", grazeS=600.0, sundownS=None)
             world.state.transact(
                 {"if": [], "writes": [{"write": "j/" + spec["id"], "data": {"spec": spec, "t": 1000.0, "k": 256}}]}
             )
             for _ in range(4):
                 world.clock.advance(0.05)
-            term.pass_trigger.is_scheduled = pending
-            passes[count].append(meter.of(term.scheduling_loop.run_pass))
+            term.pass_trigger.is_scheduled = was_scheduled
+            passes[count].append(meter.measure(term.scheduling_loop.run_pass))
             assert term.job_table.jobs[spec["id"]].waiting_count == 0, "not placed"
             settle()
-    fleet_ticks = [meter.of(term.autoscaler._on_tick) for _ in range(ROUNDS)]
+    fleet_ticks = [meter.measure(term.autoscaler._on_tick) for _ in range(ROUNDS)]
 
-    before = [_requests(world), _changes(world)]
-    rounds, tasks = 5, 10
+    before = [_count_requests(world), _count_changes(world)]
+    rounds, task_count = 5, 10
     for number in range(rounds):
-        for _ in range(tasks):
-            worker, key = next(ended)
+        for _ in range(task_count):
+            worker, key = next(tasks_to_end)
             worker.end(key)
-            report(worker)
+            measure_heartbeat(worker)
         settle()
-        world.submit(id=f"wk-5{number:05d}", heads=tasks, cpus=2.0, rank="critical", grazeS=600.0, sundownS=None)
+        world.submit(id=f"wk-5{number:05d}", heads=task_count, cpus=2.0, rank="critical", grazeS=600.0, sundownS=None)
         settle()
         for worker in workers:
-            for key in [k for k in worker.tasks if k[0].startswith(f"wk-5{number:05d}")]:
+            for key in [task_key for task_key in worker.tasks if task_key[0].startswith(f"wk-5{number:05d}")]:
                 worker.end(key)
-                report(worker)
+                measure_heartbeat(worker)
         settle()
-    requests = _requests(world) - before[0]
+    requests = _count_requests(world) - before[0]
     return {
         "machines": machines,
         "report_us": histogram.get_value_at_percentile(50) / 1e3,
@@ -235,21 +247,23 @@
         "changed_us": median_high(changed) * 1e6,
         "pass_1_us": median_high(passes[1]) * 1e6,
         "pass_10_us": median_high(passes[10]) * 1e6,
-        "idle_pass_us": median_high(idle) * 1e6,
+        "idle_pass_us": median_high(idle_passes) * 1e6,
         "tick_us": median_high(ticks) * 1e6,
         "fleet_tick_us": median_high(fleet_ticks) * 1e6,
-        "takeover_ms": took * 1e3,
-        "memory_mb": held,
-        "requests": requests / (rounds * tasks),
-        "changes": (_changes(world) - before[1]) / (rounds * tasks),
+        "takeover_ms": takeover_s * 1e3,
+        "memory_mb": term_mb,
+        "requests": requests / (rounds * task_count),
+        "changes": (_count_changes(world) - before[1]) / (rounds * task_count),
     }
 
 
-def _requests(world: Any) -> int:
+def _count_requests(world: Any) -> int:
+    """Requests to the store so far, without renewals of leases."""
     return sum(1 for _, target, _ in world.net.calls if target.startswith("state:1") and "/renew" not in target)
 
 
-def _changes(world: Any) -> int:
+def _count_changes(world: Any) -> int:
+    """Keys written to the store in transactions so far."""
     return sum(
         len(json.loads(body).get("writes") or ())
         for method, target, body in world.net.calls
@@ -257,16 +271,18 @@
     )
 
 
-def parser() -> argparse.ArgumentParser:
-    options = argparse.ArgumentParser(prog="python3 -m benchmarks.cost", description="A leader's costs against size.")
-    options.add_argument("--sizes", default=",".join(map(str, SIZES)), help="numbers of machines, at least 50 each")
-    options.add_argument("--json", action="store_true", help="one object a size instead of a table")
-    options.add_argument("--here", action="store_true", help="in this process: the first size only, for profiling")
-    return options
+def build_parser() -> argparse.ArgumentParser:
+    """The parser of the command line."""
+    parser = argparse.ArgumentParser(prog="python3 -m benchmarks.cost", description="A leader's costs against size.")
+    parser.add_argument("--sizes", default=",".join(map(str, SIZES)), help="numbers of machines, at least 50 each")
+    parser.add_argument("--json", action="store_true", help="one object a size instead of a table")
+    parser.add_argument("--here", action="store_true", help="in this process: the first size only, for profiling")
+    return parser
 
 
 def main(arguments: list[str]) -> int:
-    options = parser().parse_args(arguments)
+    """Prints a row for each size; returns 0, or 2 if the sizes can't be used."""
+    options = build_parser().parse_args(arguments)
     try:
         sizes = [int(size) for size in options.sizes.split(",")]
     except ValueError:
@@ -277,7 +293,7 @@
         return 2
     if options.here:
         print(json.dumps(measure(sizes[0])))
-        # Coroutines that still wait when the interpreter ends have nothing left to tell.
+        # Coroutines that are closed when the interpreter exits would log errors of no interest.
         logging.disable()
         return 0
     rows = []
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,8 +1,8 @@
-"""Every change of leader in a day, from its log: `python3 -m benchmarks.takeover LOG [--json]`.
+"""Measures every change of leader in a day's log: `python3 -m benchmarks.takeover LOG [--json]`.
 
-Times are seconds from the end of the leader before: its last line in the log, or the line that says that it leads no
-more. A leader that still worked when another was elected (cut off, say) counts as ended by the election. The log is
-that of `benchmarks.day`; what a line does not tell is left empty.
+Times are seconds from the end of the previous leader: its last line in the log, or the line that logs that it stopped
+leading. A leader that still logged when the next was elected (after a network partition, for example) counts as ended
+by the election. The log is as for `benchmarks.day`; a figure without a line in the log is left empty.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from dataclasses import asdict, dataclass, fields
 from statistics import median
 
-from benchmarks.day import LINE, read
+from benchmarks.day import LOG_LINE, read_day
 
-LEADS = re.compile(r"(?:started leading token=|leads with token )(\d+)")
-OVER = re.compile(r"(?:stopped leading token=|no longer leads with token )(\d+)")
-PICTURE = re.compile(
+LEADING = re.compile(r"(?:started leading token=|leads with token )(\d+)")
+STOPPED_LEADING = re.compile(r"(?:stopped leading token=|no longer leads with token )(\d+)")
+STATE_LOADED = re.compile(
     r"(?:state loaded )?term[ =](\d+):? (?:jobs=)?(\d+) "
     r"(?:open jobs, |machines=)(\d+) (?:machines, |placements=)(\d+)"
 )
@@ -29,10 +29,12 @@
     r"(first placement stored|first start sent|nine of ten machines answered)"
 )
 BEFORE_S = 10.0
-"""Starts of so long before the end are what is to be reached again."""
-LATELY_S = 2.0
-AGAIN = 0.9
-LEAST_RATE = 0.5
+"""The rate of starts is measured over this time before the end of the previous leader."""
+RATE_WINDOW_S = 2.0
+"""The rate of starts after the end is measured over this time, or since the end."""
+RECOVERED_SHARE = 0.9
+MIN_RATE_PER_S = 0.5
+"""A lower rate of starts before the end is too low to compare with."""
 
 HEADINGS = {
     "end_s": "end of the leader",
@@ -51,7 +53,10 @@
 
 @dataclass(slots=True)
 class Takeover:
+    """One change of leader; the field names are the keys of the JSON output and of HEADINGS."""
+
     end_s: float
+    """The end of the previous leader, in seconds of the day; all other times are seconds after it."""
     node: str
     token: int
     token_s: float
@@ -64,89 +69,104 @@
     placements: int = 0
 
 
-NAMES = {
+FIELD_OF_MILESTONE = {
     "first placement stored": "placement_s",
     "first start sent": "start_s",
     "nine of ten machines answered": "answered_s",
 }
 
 
-def takeovers(lines: Sequence[str]) -> list[Takeover]:
-    found: dict[int, Takeover] = {}
-    last: dict[str, float] = {}
-    over: dict[int, float] = {}
+def read_takeovers(lines: Sequence[str]) -> list[Takeover]:
+    """All changes of leader in these log lines, in their order; the first leader of the day is not one."""
+    takeovers: dict[int, Takeover] = {}
+    last_line_at: dict[str, float] = {}
+    stopped_at: dict[int, float] = {}
     leader: tuple[str, int] | None = None
     for line in lines:
-        match = LINE.match(line)
-        if match is None:
+        log_line = LOG_LINE.match(line)
+        if log_line is None:
             continue
-        at, node, text = float(match[1]), match[3], match[5]
-        if told := LEADS.match(text):
-            token = int(told[1])
+        at, node, text = float(log_line[1]), log_line[3], log_line[5]
+        if match := LEADING.match(text):
+            token = int(match[1])
             if leader is not None:
-                end = min(at, over.get(leader[1], last.get(leader[0], at)))
-                found[token] = Takeover(end, node, token, at - end)
+                end_at = min(at, stopped_at.get(leader[1], last_line_at.get(leader[0], at)))
+                takeovers[token] = Takeover(end_at, node, token, at - end_at)
             leader = (node, token)
-        elif told := OVER.match(text):
-            over[int(told[1])] = at
-        elif (told := PICTURE.match(text)) and int(told[1]) in found:
-            one = found[int(told[1])]
-            one.picture_s, one.machines, one.placements = at - one.end_s, int(told[3]), int(told[4])
-        elif (told := MILESTONE.match(text)) and int(told[1]) in found:
-            one = found[int(told[1])]
-            setattr(one, NAMES[told[2]], at - one.end_s)
-        last[node] = at
-    # A new leader tells anew of what it finds running: only what began then counts as a start.
-    day = read(lines)
-    starts = sorted(run.began for job in day.jobs.values() for run in job.runs if run.began is not None)
-    for one in found.values():
-        one.again_s = _again(starts, one.end_s)
-    return list(found.values())
-
-
-def _again(starts: list[float], end: float) -> float | None:
-    """When starts came as often again as before the end; None: not in the day, or none to speak of before."""
-    rate = (bisect_left(starts, end) - bisect_left(starts, end - BEFORE_S)) / BEFORE_S
-    if rate < LEAST_RATE:
+        elif match := STOPPED_LEADING.match(text):
+            stopped_at[int(match[1])] = at
+        elif (match := STATE_LOADED.match(text)) and int(match[1]) in takeovers:
+            takeover = takeovers[int(match[1])]
+            takeover.picture_s, takeover.machines, takeover.placements = (
+                at - takeover.end_s,
+                int(match[3]),
+                int(match[4]),
+            )
+        elif (match := MILESTONE.match(text)) and int(match[1]) in takeovers:
+            takeover = takeovers[int(match[1])]
+            setattr(takeover, FIELD_OF_MILESTONE[match[2]], at - takeover.end_s)
+        last_line_at[node] = at
+    # A new leader logs again which tasks it finds running; only tasks that started then count as starts.
+    day = read_day(lines)
+    starts = sorted(
+        attempt.started_at for job in day.jobs.values() for attempt in job.attempts if attempt.started_at is not None
+    )
+    for takeover in takeovers.values():
+        takeover.again_s = _recovery_time_s(starts, takeover.end_s)
+    return list(takeovers.values())
+
+
+def _recovery_time_s(starts: list[float], end_at: float) -> float | None:
+    """Seconds from the end until tasks start about as often as before it.
+
+    None if they never do, or if the rate before the end was below MIN_RATE_PER_S.
+    """
+    rate = (bisect_left(starts, end_at) - bisect_left(starts, end_at - BEFORE_S)) / BEFORE_S
+    if rate < MIN_RATE_PER_S:
         return None
-    for index in range(bisect_left(starts, end), len(starts)):
-        since = starts[index]
-        if index + 1 - bisect_left(starts, max(end, since - LATELY_S)) >= AGAIN * rate * LATELY_S:
-            return since - end
+    for index in range(bisect_left(starts, end_at), len(starts)):
+        start_at = starts[index]
+        if (
+            index + 1 - bisect_left(starts, max(end_at, start_at - RATE_WINDOW_S))
+            >= RECOVERED_SHARE * rate * RATE_WINDOW_S
+        ):
+            return start_at - end_at
     return None
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     if value is None:
         return ""
     return f"{value:.2f}" if isinstance(value, float) else str(value)
 
 
-def table(found: list[Takeover]) -> str:
-    names = [one.name for one in fields(Takeover)]
-    rows = [[_cell(getattr(one, name)) for name in names] for one in found]
-    if len(found) > 1:
-        middle = []
+def format_table(takeovers: list[Takeover]) -> str:
+    """A table in Markdown, with a row of medians if there are several takeovers."""
+    names = [field.name for field in fields(Takeover)]
+    rows = [[_format_cell(getattr(takeover, name)) for name in names] for takeover in takeovers]
+    if len(takeovers) > 1:
+        medians = []
         for name in names:
-            values = [value for one in found if isinstance(value := getattr(one, name), float)]
-            middle.append(f"{median(values):.2f}" if values and name != "end_s" else "")
-        rows.append(["median", *middle[1:]])
+            values = [value for takeover in takeovers if isinstance(value := getattr(takeover, name), float)]
+            medians.append(f"{median(values):.2f}" if values and name != "end_s" else "")
+        rows.append(["median", *medians[1:]])
     lines = [" | ".join(HEADINGS[name] for name in names), " | ".join("---" for _ in names)]
     return "\n".join(f"| {line} |" for line in [*lines, *(" | ".join(row) for row in rows)])
 
 
 def main(arguments: list[str]) -> int:
-    options = argparse.ArgumentParser(prog="python3 -m benchmarks.takeover", description="Every change of leader.")
-    options.add_argument("log", metavar="LOG", help="the nodes' logs of the day, level debug, each line with its time")
-    options.add_argument("--json", action="store_true", help="a list of objects instead of a table")
-    given = options.parse_args(arguments)
+    """Prints the takeovers; returns 0, or 2 if the log can't be read."""
+    parser = argparse.ArgumentParser(prog="python3 -m benchmarks.takeover", description="Every change of leader.")
+    parser.add_argument("log", metavar="LOG", help="the nodes' logs of the day, level debug, each line with its time")
+    parser.add_argument("--json", action="store_true", help="a list of objects instead of a table")
+    options = parser.parse_args(arguments)
     try:
-        with open(given.log, encoding="utf-8", errors="replace") as file:
-            found = takeovers(file.readlines())
+        with open(options.log, encoding="utf-8", errors="replace") as file:
+            takeovers = read_takeovers(file.readlines())
     except OSError as error:
-        print(f"benchmarks.takeover: {given.log}: can't be read: {error.strerror}", file=sys.stderr)
+        print(f"benchmarks.takeover: {options.log}: can't be read: {error.strerror}", file=sys.stderr)
         return 2
-    print(json.dumps([asdict(one) for one in found]) if given.json else table(found))
+    print(json.dumps([asdict(takeover) for takeover in takeovers]) if options.json else format_table(takeovers))
     return 0
 
 
--- a/benchmarks/tickets.py
+++ b/benchmarks/tickets.py
@@ -1,8 +1,8 @@
-"""What ticket gateways cost and how they recover, over the project's stand-ins on a fake clock.
+"""Measures the costs of ticket gateways and their recovery, with simulated services on a fake clock.
 
-`python3 -m benchmarks.tickets [--tickets 1000] [--json]`: three gateways, tickets of three steps each in a chain; once
-all are accepted one gateway is killed. Processor time is of this machine's core; seconds of recovery are the fake
-clock's.
+`python3 -m benchmarks.tickets [--tickets 1000] [--json]` submits tickets, each with a chain of three steps, to three
+gateways; once all are accepted, one gateway is killed. Processor time is measured on a core of this machine; seconds of
+recovery are those of the fake clock.
 """
 
 from __future__ import annotations
@@ -17,24 +17,28 @@
 
 
 class Cost(Struct):
+    """The measured figures; the field names are the keys of the JSON output."""
+
     tickets: int
     accept_ms_median: float
     accept_ms_p99: float
-    """Processor time of one acceptance: reading, checking, mapping, storing."""
+    """Processor time of one acceptance: to parse, validate, map and store the ticket."""
     drive_ms_per_ticket: float
     store_requests_per_ticket: float
     store_changes_per_ticket: float
     controller_requests_per_ticket: float
     retried: int
     lost_tickets: int
-    """Open tickets of the gateway that was killed."""
+    """Open tickets of the killed gateway."""
     first_moves_s: float
-    """From its kill until the first of them moved on, and until half of them had."""
+    """Time from the kill until another gateway changed the first of these tickets."""
     half_move_s: float
+    """Time from the kill until half of these tickets were changed."""
 
 
 def measure(count: int) -> Cost:
-    from meadowcross.openjd import records as r
+    """Drives `count` tickets to their end, and kills the first gateway meanwhile."""
+    from meadowcross.openjd import records
     from tests.openjd.test_gateway import CHAIN, Farm
 
     farm = Farm(3)
@@ -42,59 +46,63 @@
         gateway.intake._rate = 1e6
         gateway.intake._all._burst = gateway.intake._all._available = 1e6
     accept = HdrHistogram(1, 60_000_000, 3)
-    ids = []
+    ticket_ids = []
     names = list(farm.gateways)
     for number in range(count):
-        began = time.process_time_ns()
-        status, said = farm.submit(CHAIN, f"k{number}", names[number % 3])
-        accept.record_value(max(1, (time.process_time_ns() - began) // 1000))
-        assert status == 201, said
-        ids.append(r.TicketId(said["id"]))
-    began_cpu = time.process_time()
+        began_ns = time.process_time_ns()
+        status, response = farm.submit(CHAIN, f"k{number}", names[number % 3])
+        accept.record_value(max(1, (time.process_time_ns() - began_ns) // 1000))
+        assert status == 201, response
+        ticket_ids.append(records.TicketId(response["id"]))
+    began_cpu_s = time.process_time()
     farm.pass_time(5.0)
     victim = farm.gateways["g0"]
-    lost = set(victim.driver.open)
-    marks = {ticket: farm.state.keys[r.open_key(ticket)]["mark"] for ticket in lost}
-    driven = [gateway.controllers for gateway in farm.gateways.values()]
+    lost_tickets = set(victim.driver.open)
+    revisions = {ticket: farm.state.keys[records.open_key(ticket)]["mark"] for ticket in lost_tickets}
+    controller_clients = [gateway.controllers for gateway in farm.gateways.values()]
     farm.kill("g0")
-    killed = farm.clock.seconds()
-    first = half = 0.0
-    while farm.clock.seconds() - killed < 600 and any(key.startswith(r.OPEN) for key in farm.state.keys):
+    killed_at = farm.clock.seconds()
+    first_s = half_s = 0.0
+    while farm.clock.seconds() - killed_at < 600 and any(key.startswith(records.OPEN) for key in farm.state.keys):
         farm.nodes.finish()
         farm.pass_time(0.5)
-        if not half:
-            moved = sum(
-                r.open_key(ticket) not in farm.state.keys or farm.state.keys[r.open_key(ticket)]["mark"] != mark
-                for ticket, mark in marks.items()
+        if not half_s:
+            moved_count = sum(
+                records.open_key(ticket) not in farm.state.keys
+                or farm.state.keys[records.open_key(ticket)]["mark"] != revision
+                for ticket, revision in revisions.items()
             )
-            took = farm.clock.seconds() - killed
-            first = first or (took if moved else 0.0)
-            half = took if 2 * moved >= len(lost) else 0.0
-    assert len(set(farm.nodes.submitted)) == len(farm.nodes.submitted) == 3 * count, "a job twice, or none"
-    changed = [event.get("write") or event["drop"] for event in farm.state.log]
-    state = [call for call in farm.net.calls if call[1].startswith("s:1")]
+            elapsed_s = farm.clock.seconds() - killed_at
+            first_s = first_s or (elapsed_s if moved_count else 0.0)
+            half_s = elapsed_s if 2 * moved_count >= len(lost_tickets) else 0.0
+    assert len(set(farm.nodes.submitted)) == len(farm.nodes.submitted) == 3 * count, (
+        "each step must be submitted as exactly one job"
+    )
+    changed_keys = [event.get("write") or event["drop"] for event in farm.state.log]
+    store_calls = [call for call in farm.net.calls if call[1].startswith("s:1")]
     return Cost(
         count,
         accept.get_value_at_percentile(50) / 1000,
         accept.get_value_at_percentile(99) / 1000,
-        round(1000 * (time.process_time() - began_cpu) / count, 2),
-        round(len(state) / count, 1),
-        round(sum(key.startswith(r.PREFIX) for key in changed) / count, 1),
-        round(sum(one.requests for one in driven) / count, 1),
-        sum(one.retried for one in driven),
-        len(lost),
-        round(first, 1),
-        round(half, 1),
+        round(1000 * (time.process_time() - began_cpu_s) / count, 2),
+        round(len(store_calls) / count, 1),
+        round(sum(key.startswith(records.PREFIX) for key in changed_keys) / count, 1),
+        round(sum(client.requests for client in controller_clients) / count, 1),
+        sum(client.retried for client in controller_clients),
+        len(lost_tickets),
+        round(first_s, 1),
+        round(half_s, 1),
     )
 
 
 def main(arguments: list[str]) -> int:
-    options = argparse.ArgumentParser(prog="benchmarks.tickets", description="What ticket gateways cost.")
-    options.add_argument("--tickets", type=int, default=1000)
-    options.add_argument("--json", action="store_true")
-    given = options.parse_args(arguments)
-    cost = measure(given.tickets)
-    if given.json:
+    """Measures and prints the costs; returns 0."""
+    parser = argparse.ArgumentParser(prog="benchmarks.tickets", description="What ticket gateways cost.")
+    parser.add_argument("--tickets", type=int, default=1000)
+    parser.add_argument("--json", action="store_true")
+    options = parser.parse_args(arguments)
+    cost = measure(options.tickets)
+    if options.json:
         print(msgspec.json.encode(cost).decode())
     else:
         for name in Cost.__struct_fields__:
--- a/tests/benchmarks/__init__.py
+++ b/tests/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `benchmarks`."""
+"""Tests of the measuring tools in `benchmarks`."""
--- a/tests/benchmarks/test_benchmarks.py
+++ b/tests/benchmarks/test_benchmarks.py
@@ -1,4 +1,4 @@
-"""The tools that measure: days read back from logs, bounds on what a day could have reached, costs."""
+"""The measuring tools read days from logs of present and earlier versions, compute bounds, and measure costs."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 import pytest
 
-from benchmarks import bounds, cancels, cost, history, learning, recovery, served, takeover, tickets
-from benchmarks.day import money, read
+from benchmarks import bounds, cancels, cost, day, history, learning, recovery, served, takeover, tickets
+from benchmarks.day import attribute_costs, read_day
 
 FACTS = """
 [[machine_types]]
@@ -57,26 +57,25 @@
     return str(tmp_path / "day.log"), str(tmp_path / "facts.toml")
 
 
-def test_a_day_is_read_back_with_every_attempt():
-    day = read(LOG)
-    job = day.jobs["wk-000001"]
-    assert (job.tasks, job.due_s, job.ended, job.standing) == (8, 60.0, 103.2, "done")
-    assert len(job.run_s) == 8 and job.run_s[0] == pytest.approx(30.0)
-    assert [run.why for run in job.runs if run.why != "done"] == ["stopped"]
+def test_day_is_read_with_every_attempt():
+    job = read_day(LOG).jobs["wk-000001"]
+    assert (job.tasks, job.due_s, job.ended_at, job.state) == (8, 60.0, 103.2, "done")
+    assert len(job.completed_run_times_s) == 8 and job.completed_run_times_s[0] == pytest.approx(30.0)
+    assert [attempt.outcome for attempt in job.attempts if attempt.outcome != "done"] == ["stopped"]
 
 
-def test_every_paid_second_is_told_once():
-    spent = money(read(LOG), {("small", True): 3600.0, ("small", False): 3600.0}, {"small": 4.0})
-    assert sum(v for k, v in spent.items() if not k.startswith("(")) == pytest.approx(110.0 + 110.0)
-    assert spent["useful"] == pytest.approx(8 * 30.0 / 4)
-    assert spent["lost: stopped"] == pytest.approx(3.0 / 4)
-    assert spent["boot"] == pytest.approx(10.0) and spent["never up"] == pytest.approx(110.0)
+def test_every_paid_second_is_attributed_once():
+    costs = attribute_costs(read_day(LOG), {("small", True): 3600.0, ("small", False): 3600.0}, {"small": 4.0})
+    assert sum(value for key, value in costs.items() if not key.startswith("(")) == pytest.approx(110.0 + 110.0)
+    assert costs["useful"] == pytest.approx(8 * 30.0 / 4)
+    assert costs["lost: stopped"] == pytest.approx(3.0 / 4)
+    assert costs["boot"] == pytest.approx(10.0) and costs["never up"] == pytest.approx(110.0)
 
 
-def test_bounds_of_a_day(files, capsys):
+def test_bounds_of_a_day_are_printed(files, capsys):
     assert bounds.main([*files, "--json"]) == 0
     lines = {line["aim"]: line for line in json.loads(capsys.readouterr().out)}
-    # Both machines could be up at 10.5 s, all eight tasks done at 40.5 s.
+    # Both machines could be ready at 10.5 s, and all eight tasks done at 40.5 s.
     assert lines["train by 1 x due"]["ours"] == 0.0 and lines["train by 1 x due"]["alone"] == pytest.approx(1.0)
     assert lines["all work done (s)"]["alone"] <= 103.2
     assert 0 < lines["useful money (saved work not counted)"]["ours"] < 1
@@ -85,68 +84,69 @@
 @pytest.mark.parametrize(
     ("due", "tasks", "limit", "share"),
     [(60.0, 8, 8.0, 1.0), (60.0, 24, 8.0, 0.594), (60.0, 8, 2.0, 0.45), (35.0, 8, 8.0, 0.0)],
-    ids=["fits", "more work than capacity", "the team's limit", "a task is longer than what is left"],
+    ids=["fits", "more work than capacity", "team limit", "task longer than the remaining time"],
 )
 def test_jobs_in_time_are_bounded_by_capacity_limits_and_the_longest_task(due, tasks, limit, share):
-    lines = [ACCEPTED.format("000001", "normal", tasks, due)]
-    # Lines of earlier versions are read as well.
-    lines += ["D n0 leadership: task wk-000001/0 done on i-1 after 30.00 s"]
-    day = read(["0.5 n0 " + lines[0], "103.1 n0 " + lines[1]])
+    lines = [
+        "0.5 n0 " + ACCEPTED.format("000001", "normal", tasks, due),
+        # The form of an earlier version.
+        "103.1 n0 D n0 leadership: task wk-000001/0 done on i-1 after 30.00 s",
+    ]
+    jobs = list(read_day(lines).jobs.values())
     free = [0.0] * 2 + [8.0] * 30
-    jobs = list(day.jobs.values())
-    found = bounds.in_time(jobs, [0.5 + due], [min(limit, cpus) for cpus in free], 10.5)
-    assert found == pytest.approx(share, abs=0.002)
+    bound = bounds.bound_jobs_in_time(jobs, [0.5 + due], [min(limit, cpus) for cpus in free], 10.5)
+    assert bound == pytest.approx(share, abs=0.002)
 
 
 @pytest.mark.parametrize(
-    ("spoil", "told"),
+    ("replace_files", "message"),
     [
         (lambda log, facts: (log, facts + ".none"), "facts.toml.none"),
         (lambda log, facts: (log + ".none", facts), "day.log.none"),
         (lambda log, facts: (facts, facts), "no job was accepted"),
         (lambda log, facts: (log, log), "TOMLDecodeError"),
     ],
-    ids=["no facts", "no log", "not a log", "not facts"],
+    ids=["missing facts", "missing log", "not a log", "not facts"],
 )
-def test_bad_input_is_told_in_one_line(files, capsys, spoil, told):
-    assert bounds.main(list(spoil(*files))) == 2
+def test_unusable_input_is_reported_in_one_line(files, capsys, replace_files, message):
+    assert bounds.main(list(replace_files(*files))) == 2
     out, error = capsys.readouterr()
-    assert out == "" and error.count("\n") == 1 and told in error
+    assert out == "" and error.count("\n") == 1 and message in error
 
 
 @pytest.mark.parametrize("sizes", ["many", "10", ""])
-def test_the_cost_tool_refuses_sizes_that_it_cannot_build(sizes, capsys):
+def test_invalid_sizes_are_rejected(sizes, capsys):
     assert cost.main(["--sizes", sizes]) == 2
     assert capsys.readouterr().err.count("\n") == 1
 
 
-def test_recovery_tells_the_gap_and_when_as_much_runs_again(tmp_path, capsys):
+def test_recovery_measures_the_gap_and_the_time_until_tasks_run_again(tmp_path, capsys):
     log = tmp_path / "day.log"
     log.write_text("\n".join(LOG))
     assert recovery.main([str(log), "--at", "14", "--json"]) == 0
-    found = json.loads(capsys.readouterr().out)
-    # Four tasks ran, one was stopped at once; the next began when the other three were done.
-    assert found["cpus_before"] == 4.0 and found["no_start_s"] == pytest.approx(30.1)
-    assert found["again_s"] == pytest.approx(29.0, abs=recovery.STEP_S)
+    result = json.loads(capsys.readouterr().out)
+    # Four tasks ran, and one was stopped at once; the next task started when the other three were done.
+    assert result["cpus_before"] == 4.0 and result["no_start_s"] == pytest.approx(30.1)
+    assert result["again_s"] == pytest.approx(29.0, abs=recovery.STEP_S)
     assert recovery.main([str(log), "--at", "1000"]) == 2
     assert "no second 1000" in capsys.readouterr().err
 
 
-def test_what_higher_priority_uses_first_is_not_there_for_the_rest():
+def test_capacity_used_by_higher_priority_is_not_available_to_lower_priority():
     lines = [
         "0.0 n0 " + ACCEPTED.format("000001", "urgent", 8, 60),
         "0.0 n0 " + ACCEPTED.format("000002", "idle", 8, 60),
         *(f"31.0 n0 D n0 leadership: task wk-00000{n}/0 done on i-1 after 30.00 s" for n in (1, 2)),
     ]
-    urgent, idle = read(lines).jobs.values()
+    urgent, idle = read_day(lines).jobs.values()
     free = [8.0] * 12
-    left = bounds.served_first([urgent], free, 0.0)
-    assert sum(free) - sum(left) == pytest.approx(8 * 30.0 / bounds.STEP_S)
-    assert bounds.in_time([idle], [48.0], free, 0.0) == pytest.approx(1.0)
-    assert bounds.in_time([idle], [48.0], left, 0.0) == pytest.approx(0.6)
+    remaining = bounds.remaining_capacity([urgent], free, 0.0)
+    assert sum(free) - sum(remaining) == pytest.approx(8 * 30.0 / bounds.STEP_S)
+    assert bounds.bound_jobs_in_time([idle], [48.0], free, 0.0) == pytest.approx(1.0)
+    assert bounds.bound_jobs_in_time([idle], [48.0], remaining, 0.0) == pytest.approx(0.6)
 
 
-def test_a_days_runs_become_a_history(tmp_path, capsys):
+def test_runs_of_a_day_are_written_as_a_history(tmp_path, capsys):
     file = tmp_path / "log"
     file.write_text("\n".join(LOG))
     assert history.main([str(file)]) == 0 and history.main([str(tmp_path / "none")]) == 2
@@ -156,64 +156,67 @@
     assert {line.get("outcome", "done") for line in lines} >= {"done"}
 
 
-def test_the_costs_of_tickets_and_of_learning_are_measured():
-    cost = tickets.measure(6)
-    assert cost.tickets == 6 and cost.controller_requests_per_ticket >= 6 and cost.accept_ms_p99 > 0
-    off, on = (learning.play(setting, 4, 3) for setting in (0, 2))
+def test_costs_of_tickets_and_of_learning_are_measured():
+    ticket_cost = tickets.measure(6)
+    assert ticket_cost.tickets == 6 and ticket_cost.controller_requests_per_ticket >= 6
+    assert ticket_cost.accept_ms_p99 > 0
+    off, on = (learning.measure(setting, 4, 3) for setting in (0, 2))
     assert off.changes_stored == 0 and off.tasks_done > 0 and on.tasks_done > 0 and on.cpu_ms_per_task > 0
 
 
-def test_takeovers_are_read_back_step_by_step(tmp_path, capsys):
-    def runs(at, number, node="n0"):
+def test_takeover_is_read_with_the_time_of_each_milestone(tmp_path, capsys):
+    def running(at, number, node="n0"):
         return f"{at} {node} D {node} leadership: task running task=wk-000001/{number} machine=i-1 elapsed_s=0.30"
 
     lines = [
         "0.1 n0 " + ACCEPTED.format("000001", "normal", 80, 60),
         "0.5 n0 I n0 leadership: started leading token=7",
-        *(runs(1.0 + number / 4, number) for number in range(40)),
+        *(running(1.0 + number / 4, number) for number in range(40)),
         "11.0 n1 D n1 jobs: a node that follows",
         "13.0 n1 I n1 leadership: started leading token=9",
         "13.1 n1 I n1 leadership: state loaded term=9 jobs=1 machines=5 placements=40 replica=read hints=none",
-        *(runs(13.2, number, "n1") for number in range(40)),
+        *(running(13.2, number, "n1") for number in range(40)),
         '13.3 n1 I n1 leadership: milestone reached term=9 milestone="first placement stored" elapsed_s=0.300',
         '13.4 n1 I n1 leadership: milestone reached term=9 milestone="first start sent" elapsed_s=0.400',
         '13.5 n1 I n1 leadership: milestone reached term=9 milestone="nine of ten machines answered" elapsed_s=0.500',
-        *(runs(14.0 + number / 8, 40 + number, "n1") for number in range(40)),
+        *(running(14.0 + number / 8, 40 + number, "n1") for number in range(40)),
         *(f"30.0 n1 D n1 leadership: task done task=wk-000001/{n} machine=i-1 elapsed_s=9.00" for n in range(80)),
     ]
     (tmp_path / "day.log").write_text("\n".join(lines))
     assert takeover.main([str(tmp_path / "day.log"), "--json"]) == 0
-    (told,) = json.loads(capsys.readouterr().out)
-    assert (told["end_s"], told["node"], told["token"], told["machines"], told["placements"]) == (10.75, "n1", 9, 5, 40)
-    steps = [round(told[name], 2) for name in ("token_s", "picture_s", "placement_s", "start_s", "answered_s")]
-    assert steps == [2.25, 2.35, 2.55, 2.65, 2.75]
-    # Four starts a second before the end; what the new leader found running does not count.
-    assert 3.25 < told["again_s"] < 5.5
+    (row,) = json.loads(capsys.readouterr().out)
+    assert (row["end_s"], row["node"], row["token"], row["machines"], row["placements"]) == (10.75, "n1", 9, 5, 40)
+    times_s = [round(row[name], 2) for name in ("token_s", "picture_s", "placement_s", "start_s", "answered_s")]
+    assert times_s == [2.25, 2.35, 2.55, 2.65, 2.75]
+    # Four tasks a second started before the end; tasks that the new leader finds running do not count as starts.
+    assert 3.25 < row["again_s"] < 5.5
     assert takeover.main([str(tmp_path / "day.log")]) == 0 and "token after (s)" in capsys.readouterr().out
     assert takeover.main([str(tmp_path / "none")]) == 2
 
 
 SERVED = [
-    ("all but the cancelled", {"jobs": 10, "done": 8, "cancelled": 2}, {"jobs": 10, "started": 9}, 0),
+    ("all jobs that were not cancelled", {"jobs": 10, "done": 8, "cancelled": 2}, {"jobs": 10, "started": 9}, 0),
     ("less than half of a class", {"jobs": 10, "done": 4}, {"jobs": 10, "started": 9}, 1),
     ("less than half of a team", {"jobs": 10, "done": 10}, {"jobs": 10, "started": 4}, 1),
 ]
 
 
-@pytest.mark.parametrize(("by_class", "by_team", "status"), [s[1:] for s in SERVED], ids=[s[0] for s in SERVED])
-def test_a_class_or_a_team_served_less_than_half_is_told(tmp_path, capsys, by_class, by_team, status):
+@pytest.mark.parametrize(
+    ("by_class", "by_team", "status"), [case[1:] for case in SERVED], ids=[case[0] for case in SERVED]
+)
+def test_class_or_team_served_less_than_half_sets_the_exit_status(tmp_path, capsys, by_class, by_team, status):
     (tmp_path / "report").write_text(json.dumps({"classes": {"train": by_class}, "teams": {"a": by_team}}))
     (tmp_path / "day.log").write_text("\n".join(LOG))
     assert served.main([str(tmp_path / "report"), str(tmp_path / "day.log"), "--json"]) == status
-    told = json.loads(capsys.readouterr().out)
-    big = {"largest of train, done": 1.0, "largest of train, begun within 240 s": 1.0}
-    assert {name: told["served"].pop(name) for name in big} == big
-    assert set(told["served"]) == {"class train", "team a"} and told["thrown_away"] == {"train: stopped": 1}
+    result = json.loads(capsys.readouterr().out)
+    largest = {"largest of train, done": 1.0, "largest of train, begun within 240 s": 1.0}
+    assert {name: result["served"].pop(name) for name in largest} == largest
+    assert set(result["served"]) == {"class train", "team a"} and result["thrown_away"] == {"train: stopped": 1}
     (tmp_path / "report").write_text("{")
     assert served.main([str(tmp_path / "report")]) == 2
 
 
-def test_how_long_users_waited_for_the_word_on_a_cancel(tmp_path, capsys):
+def test_waits_for_the_response_to_a_cancellation_are_measured(tmp_path, capsys):
     log = tmp_path / "day.log"
     log.write_text(
         "10.0 n0 I n0 jobs: job wk-000001 cancelled\n"
@@ -236,3 +239,66 @@
         "longest_s": 3.0,
     }
     assert cancels.main([str(tmp_path / "none")]) == 2
+
+
+FORMS = [
+    (
+        "running",
+        day.RUNNING,
+        "task wk-000001/3 runs on i-1 after 0.30 s",
+        "task running task=wk-000001/3 machine=i-1 elapsed_s=0.30",
+    ),
+    (
+        "done",
+        day.DONE,
+        "task wk-000001/3 done on i-1 after 30.00 s",
+        "task done task=wk-000001/3 machine=i-1 elapsed_s=30.00",
+    ),
+    (
+        "released",
+        day.RELEASED,
+        "task wk-000001/3 attempt 2 gone from i-1: stopped",
+        "task released task=wk-000001/3 attempt=2 machine=i-1 reason=stopped",
+    ),
+    (
+        "released with its machine",
+        day.RELEASED,
+        "task wk-000001/3 attempt 2 gone with i-1",
+        "task released with its machine task=wk-000001/3 attempt=2 machine=i-1",
+    ),
+    (
+        "created",
+        day.CREATED,
+        "machine i-1 rented: small in east, spot",
+        "created machine=i-1 type=small zone=east market=spot",
+    ),
+    ("first contact", day.FIRST_CONTACT, "machine i-1 (small) reports first", "first contact machine=i-1 type=small"),
+    ("deleted", day.DELETED, "deleted i-1, i-2", "deleted machines=i-1, i-2"),
+    (
+        "decommissioned",
+        day.DECOMMISSIONED,
+        "machine i-1 condemned with 0 tasks: idle for 7 s",
+        "decommissioning machine=i-1 tasks=0 reason=idle for 7 s",
+    ),
+    ("leading", takeover.LEADING, "leads with token 9", "started leading token=9"),
+    ("stopped leading", takeover.STOPPED_LEADING, "no longer leads with token 9", "stopped leading token=9"),
+    (
+        "state loaded",
+        takeover.STATE_LOADED,
+        "term 9: 1 open jobs, 5 machines, 40 placements, from the replica, no hints",
+        "state loaded term=9 jobs=1 machines=5 placements=40 replica=read hints=none",
+    ),
+    (
+        "milestone",
+        takeover.MILESTONE,
+        "term 9: first start sent after 0.400 s",
+        'milestone reached term=9 milestone="first start sent" elapsed_s=0.400',
+    ),
+]
+
+
+@pytest.mark.parametrize(("pattern", "old", "new"), [form[1:] for form in FORMS], ids=[form[0] for form in FORMS])
+def test_log_lines_of_earlier_versions_are_read_like_present_ones(pattern, old, new):
+    old_match, new_match = pattern.match(old), pattern.match(new)
+    assert old_match and new_match
+    assert old_match.groups() == new_match.groups()
