--- a/tests/leadership/test_election.py
+++ b/tests/leadership/test_election.py
@@ -110,7 +110,7 @@
 
 def test_closing_the_election_at_process_end_does_not_stop_the_term(world):
     """Stopping the term would resume its coroutines, which may be closed already."""
-    world.election = make_election(world.clock, world.store, "n0", "one", world.begin)
+    world.election = make_election(world.clock, world.store, "n0", "one", world.begin_term)
     run = world.election.run()
     Deferred.fromCoroutine(run)
     world.pass_time(0.5)
