--- a/loadtest/__init__.py
+++ b/loadtest/__init__.py
@@ -1,1 +1,4 @@
-"""Scale runs: real controllers beside hollow workers, on one machine, in real time. No node imports it."""
+"""Load tests: real controllers with simulated (hollow) workers on one machine, in real time.
+
+The controllers themselves never import it.
+"""
--- a/loadtest/__main__.py
+++ b/loadtest/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m loadtest run PLAN.toml`, `report RUN...`, `copy SITE DIRECTORY`."""
+"""The commands `python3 -m loadtest run PLAN.toml`, `report RUN...` and `copy SITE DIRECTORY`."""
 
 from __future__ import annotations
 
@@ -18,6 +18,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
+    """The options of all commands."""
     options = argparse.ArgumentParser(prog="python3 -m loadtest", description="Scale runs with hollow workers.")
     verbs = options.add_subparsers(dest="verb", required=True)
     run = verbs.add_parser("run", help="play a plan and judge it; exit 1 if a rule broke or it was given up")
@@ -41,37 +42,41 @@
 
 
 class ProgressBar:
-    """A bar on a terminal; silent elsewhere."""
+    """Shows the progress of a run on a terminal, and nothing on other streams.
 
-    def __init__(self, whole_s: float, stream: TextIO) -> None:
-        self._whole_s = whole_s
+    `duration_s`: the duration of the run.
+    """
+
+    def __init__(self, duration_s: float, stream: TextIO) -> None:
+        self._duration_s = duration_s
         self._stream = stream
 
     def show(self, at_s: float, text: str) -> None:
-        """How far a run has come."""
+        """Redraw the bar `at_s` seconds after the start of the run."""
         if self._stream.isatty():
-            filled = min(BAR_WIDTH, int(BAR_WIDTH * at_s / self._whole_s))
+            filled = min(BAR_WIDTH, int(BAR_WIDTH * at_s / self._duration_s))
             bar = "#" * filled + "." * (BAR_WIDTH - filled)
-            self._stream.write(f"\r[{bar}] {at_s:5.0f} of {self._whole_s:.0f} s, {text} ")
+            self._stream.write(f"\r[{bar}] {at_s:5.0f} of {self._duration_s:.0f} s, {text} ")
             self._stream.flush()
 
     def end(self) -> None:
-        """Leave the line."""
+        """End the line of the bar."""
         if self._stream.isatty():
             self._stream.write("\n")
 
 
 def run(options: argparse.Namespace) -> int:
+    """Run a plan and return the exit status: 0, 1 if a rule broke or the run failed, 2 if the plan can't be used."""
     try:
         plan = load(options.plan)
     except PlanError as error:
         print(f"scale: {error}", file=sys.stderr)
         return 2
-    changes = {name: value for name in ("relays", "seed", "stretch") if (value := getattr(options, name)) is not None}
-    plan = stretched(replace(plan, **changes))
+    overrides = {name: value for name in ("relays", "seed", "stretch") if (value := getattr(options, name)) is not None}
+    plan = stretched(replace(plan, **overrides))
     directory = Path(options.out or f"scale-runs/{plan.name}-{time.strftime('%Y%m%dT%H%M%S')}").resolve()
     directory.mkdir(parents=True)
-    # Only here: a plan that is refused starts nothing, not even a reactor.
+    # Imported here, so that a rejected plan starts nothing, not even a reactor.
     from loadtest.report import with_usage
     from loadtest.run import Run, RunError
 
@@ -90,6 +95,7 @@
 
 
 def main(arguments: list[str]) -> int:
+    """Run a command and return its exit status."""
     options = parser().parse_args(arguments)
     if options.verb == "run":
         return run(options)
@@ -99,7 +105,7 @@
         return 0
     from loadtest.report import report
 
-    return report([Path(one) for one in options.runs], options.plot)
+    return report([Path(directory) for directory in options.runs], options.plot)
 
 
 if __name__ == "__main__":
--- a/loadtest/bus.py
+++ b/loadtest/bus.py
@@ -1,4 +1,4 @@
-"""How the processes of a run talk: each sends netstrings of JSON to the run, which passes them on to all others."""
+"""The message bus of a run: each process sends netstrings of JSON to a hub, which forwards them to all others."""
 
 from __future__ import annotations
 
@@ -12,54 +12,54 @@
 
 
 class Ready(Struct, tag="ready"):
-    """A process serves."""
+    """A process is ready to serve."""
 
     name: str
 
 
 class MachineUp(Struct, tag="up"):
-    """A rented machine has booted, and this hollow process plays its worker."""
+    """A machine has booted; the hollow process with this number simulates its worker."""
 
     machine: dict[str, Any]
     hollow: int
 
 
 class MachineGone(Struct, tag="gone"):
-    """The cloud has deleted it."""
+    """The cloud has deleted a machine."""
 
     name: str
 
 
 class JobUploaded(Struct, tag="job"):
-    """What workers fetch of a job."""
+    """A job was uploaded; workers need its specification and the mean run time of its tasks in seconds."""
 
     spec: dict[str, Any]
     run_s: float
 
 
 class RackGone(Struct, tag="rack"):
-    """The workers of a rack reach nobody, and are reached by nobody, for a while."""
+    """The workers of a rack are disconnected from the network for `for_s` seconds."""
 
     rack: int
     for_s: float
 
 
 class StoreTrouble(Struct, tag="store"):
-    """The state service is away, or so many times as slow, from now on."""
+    """From now on the state service is unavailable, or slower by a factor."""
 
     outage: bool = False
     slow: float = 1.0
 
 
 class Leads(Struct, tag="leads"):
-    """The leader's key names this controller, with this token."""
+    """A controller was elected leader: the leader's key holds its name and fencing token."""
 
     node: str
     token: int
 
 
 class Finish(Struct, tag="finish"):
-    """The run is over: write what is left to be written, and end."""
+    """The run is over: each process writes its remaining records and exits."""
 
 
 Message = Ready | MachineUp | MachineGone | JobUploaded | RackGone | StoreTrouble | Leads | Finish
@@ -67,85 +67,98 @@
 decode = msgspec.json.Decoder(Message).decode
 
 
-class Line(NetstringReceiver):
-    """One end of a connection on the bus."""
+class Connection(NetstringReceiver):
+    """One side of a connection to the hub; messages are netstrings of at most 1 MiB."""
 
     MAX_LENGTH = 1024 * 1024
 
     def __init__(
         self,
-        heard: Callable[[Line, Message], None],
-        lost: Callable[[Line], None] = lambda line: None,
-        made: Callable[[], None] = lambda: None,
+        on_message: Callable[[Connection, Message], None],
+        on_lost: Callable[[Connection], None] = lambda connection: None,
+        on_connected: Callable[[], None] = lambda: None,
     ) -> None:
         super().__init__()
-        self._heard = heard
-        self._lost = lost
-        self._made = made
+        self._on_message = on_message
+        self._on_lost = on_lost
+        self._on_connected = on_connected
 
     def connectionMade(self) -> None:
-        self._made()
+        """Report the new connection."""
+        self._on_connected()
 
     def stringReceived(self, string: bytes) -> None:
-        self._heard(self, decode(string))
+        """Decode a message and report it."""
+        self._on_message(self, decode(string))
 
     def connectionLost(self, reason: Any = connectionDone) -> None:
-        self._lost(self)
+        """Report the lost connection."""
+        self._on_lost(self)
 
     def send(self, message: Message) -> None:
+        """Send a message to the other side."""
         self.sendString(encode(message))
 
 
 class Hub(Factory):
-    """The run's end: passes on what each says to all others, and listens in."""
+    """The hub in the run's own process: forwards each message to all other processes and to its own handler."""
 
     noisy = False
 
-    def __init__(self, heard: Callable[[Message], None]) -> None:
-        self._heard = heard
-        self._lines: list[Line] = []
+    def __init__(self, on_message: Callable[[Message], None]) -> None:
+        self._on_message = on_message
+        self._connections: list[Connection] = []
+
+    def buildProtocol(self, addr: Any) -> Connection:
+        """Accept a process's connection."""
+        connection = Connection(self._forward, self._connections.remove)
+        self._connections.append(connection)
+        return connection
 
-    def buildProtocol(self, addr: Any) -> Line:
-        line = Line(self._said, self._lines.remove)
-        self._lines.append(line)
-        return line
+    def _forward(self, source: Connection, message: Message) -> None:
+        for connection in self._connections:
+            if connection is not source:
+                connection.send(message)
+        self._on_message(message)
 
-    def _said(self, source: Line, message: Message) -> None:
-        for line in self._lines:
-            if line is not source:
-                line.send(message)
-        self._heard(message)
+    def broadcast(self, message: Message) -> None:
+        """Send a message of the run itself to all processes."""
+        for connection in self._connections:
+            connection.send(message)
 
-    def tell(self, message: Message) -> None:
-        """Something that the run itself says to all."""
-        for line in self._lines:
-            line.send(message)
 
+class HubClient(ClientFactory):
+    """A process's client of the hub.
 
-class Member(ClientFactory):
-    """A process's end; `on_open` is called once it is connected, `on_lost` when the run is gone."""
+    `on_connected` is called once it is connected, `on_lost` when the hub is unreachable or has closed the connection.
+    """
 
     noisy = False
 
     def __init__(
-        self, heard: Callable[[Message], None], on_open: Callable[[], None], on_lost: Callable[[], None]
+        self, on_message: Callable[[Message], None], on_connected: Callable[[], None], on_lost: Callable[[], None]
     ) -> None:
-        self._on_heard = heard
-        self._on_open = on_open
+        self._on_message = on_message
+        self._on_connected = on_connected
         self._on_lost = on_lost
-        self._line: Line | None = None
+        self._connection: Connection | None = None
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
+        """Report that the hub is unreachable."""
         self._on_lost()
 
     def clientConnectionLost(self, connector: Any, unused_reason: Any) -> None:
+        """Report that the connection was lost."""
         self._on_lost()
 
-    def buildProtocol(self, addr: Any) -> Line:
-        self._line = Line(lambda line, message: self._on_heard(message), made=self._on_open)
-        return self._line
+    def buildProtocol(self, addr: Any) -> Connection:
+        """Open the connection to the hub."""
+        self._connection = Connection(
+            lambda connection, message: self._on_message(message), on_connected=self._on_connected
+        )
+        return self._connection
 
     def send(self, message: Message) -> None:
-        """To all others; dropped before there is a connection."""
-        if self._line is not None:
-            self._line.send(message)
+        """Send a message to all other processes; without a connection it is dropped."""
+        if self._connection is not None:
+            self._connection.send(message)
--- a/loadtest/child.py
+++ b/loadtest/child.py
@@ -1,4 +1,4 @@
-"""`python3 -m loadtest.child ROLE NUMBER SETUP`: one process of a run, which ends with it."""
+"""The command `python3 -m loadtest.child ROLE NUMBER SETUP`: one process of a run, which exits with the run."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from meadowcross.common.types import Address
 
 reactor: Any = _reactor
-FLUSH_S = 0.5
+FLUSH_INTERVAL_S = 0.5
 
 
 class Setup(Struct):
-    """What the run tells its processes, in a file."""
+    """The configuration that a run writes to a file for its processes."""
 
     plan: Plan
     directory: str
@@ -35,7 +35,10 @@
 
 
 class Tally(Struct):
-    """What a process counted, one JSON line an interval; histograms in HdrHistogram's own encoding."""
+    """The counts of a process since its start, written as one JSON line per interval.
+
+    `answers` is a histogram of response times in HdrHistogram's own encoding.
+    """
 
     at: float
     name: str
@@ -52,22 +55,25 @@
 
 
 class Child:
-    """Wires a role to the bus, and writes its tallies."""
+    """Connects the object of a role to the bus, and writes its tallies.
+
+    The method `_ROLE` creates the object of the role `ROLE`.
+    """
 
     def __init__(self, role: str, number: int, setup: Setup) -> None:
         self._name = f"{role}{number}"
         self._directory = Path(setup.directory)
         self._recorder = Recorder(self._directory, self._name)
         self._tallies = (self._directory / f"tally-{self._name}.jsonl").open("ab")
-        self._member = bus.Member(self._heard, self._opened, self._ended)
+        self._bus_client = bus.HubClient(self._on_message, self._on_connected, self._stop)
         self._role: Any = getattr(self, f"_{role}")(number, setup)
-        for every_s, act in ((FLUSH_S, self._recorder.flush), (setup.plan.interval_s, self._count)):
-            LoopingCall(act).start(every_s, now=False)
-        reactor.connectTCP("127.0.0.1", setup.bus_port, self._member)
+        for interval_s, act in ((FLUSH_INTERVAL_S, self._recorder.flush), (setup.plan.interval_s, self._write_tally)):
+            LoopingCall(act).start(interval_s, now=False)
+        reactor.connectTCP("127.0.0.1", setup.bus_port, self._bus_client)
 
     def _state(self, number: int, setup: Setup) -> StateProcess:
         host = Host(reactor, RealTime(reactor, setup.plan.seed), service_host(setup.network))
-        return StateProcess(host, setup.plan.state, self._recorder, self._member.send)
+        return StateProcess(host, setup.plan.state, self._recorder, self._bus_client.send)
 
     def _cloud(self, number: int, setup: Setup) -> CloudProcess:
         plan = setup.plan
@@ -81,36 +87,36 @@
             plan.workers,
             setup.network,
             self._recorder,
-            self._member.send,
+            self._bus_client.send,
         )
 
     def _users(self, number: int, setup: Setup) -> Submitters:
         host = Host(reactor, RealTime(reactor, setup.plan.seed + 2))
         history = UserHistory(reactor.seconds, setup.plan.facts.cancel_s, self._recorder)
-        return Submitters(host, setup.plan, setup.nodes, history, self._member.send)
+        return Submitters(host, setup.plan, setup.nodes, history, self._bus_client.send)
 
     def _hollow(self, number: int, setup: Setup) -> HollowProcess:
         plan = setup.plan
         return HollowProcess(reactor, number, plan.seed, plan.facts, setup.nodes, plan.rack_workers, self._recorder)
 
-    def _opened(self) -> None:
-        self._member.send(bus.Ready(self._name))
+    def _on_connected(self) -> None:
+        self._bus_client.send(bus.Ready(self._name))
         if isinstance(self._role, Submitters):
             self._role.begin()
 
-    def _heard(self, message: bus.Message) -> None:
+    def _on_message(self, message: bus.Message) -> None:
         if isinstance(message, bus.Finish):
-            self._count()
-            self._ended()
+            self._write_tally()
+            self._stop()
         elif isinstance(self._role, (HollowProcess, StateProcess)):
-            self._role.heard(message)
+            self._role.on_message(message)
 
-    def _ended(self) -> None:
+    def _stop(self) -> None:
         self._recorder.flush()
         if reactor.running:
             reactor.stop()
 
-    def _count(self) -> None:
+    def _write_tally(self) -> None:
         tally = Tally(reactor.seconds(), self._name)
         if isinstance(self._role, HollowProcess):
             traffic = self._role.traffic
@@ -130,6 +136,7 @@
 
 
 def main(arguments: list[str]) -> int:
+    """Run the reactor of one process until the run ends."""
     role, number, path = arguments
     Child(role, int(number), msgspec.json.decode(Path(path).read_bytes(), type=Setup))
     reactor.run()
--- a/loadtest/copies.py
+++ b/loadtest/copies.py
@@ -1,6 +1,6 @@
-"""Writes a copy of an operators' site file with higher counts, so that the bench plays a larger deployment.
+"""Writes a copy of an operators' site file with higher counts, to run benchmarks of a larger deployment.
 
-The copy holds the operators' own text, so it is written outside the repository and never committed.
+The copy contains the operators' own text, so it is written outside the repository and never committed.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 NUMBER = r"(\d+(?:\.\d+)?)"
 CAPACITY_FIELD = re.compile(rf"^(count|spot) = {NUMBER}$")
-RATE = re.compile(rf"\brate = {NUMBER}")
-INITIAL = re.compile(rf"^initial = {NUMBER}$")
+ARRIVAL_RATE = re.compile(rf"\brate = {NUMBER}")
+INITIAL_JOBS = re.compile(rf"^initial = {NUMBER}$")
 
 
 class Growth(NamedTuple):
@@ -20,47 +20,47 @@
 
     name: str
     machines: float
-    """Factor on each count of machines that the cloud has."""
+    """Factor of each number of machines that the cloud has."""
     jobs: float
-    """Factor on each rate of arrivals, and on what waits at the start."""
+    """Factor of each arrival rate and of the number of jobs that wait at the start."""
     nodes: int
 
 
 def enlarge(text: str, growth: Growth) -> str:
-    """The site file's text with higher counts; all else stays as it was."""
+    """Return the site file's text with higher counts and no other change."""
     section = ""
     lines = []
     for line in text.splitlines():
         if line.startswith("["):
             section = line.strip("[]")
-        lines.append(_line(section, line, growth))
+        lines.append(_enlarge_line(section, line, growth))
     return "\n".join(lines) + "\n"
 
 
-def _line(section: str, line: str, growth: Growth) -> str:
+def _enlarge_line(section: str, line: str, growth: Growth) -> str:
     if section == "" and line.startswith("name = "):
         return f'name = "{growth.name}"'
     if section == "nodes" and line.startswith("count = "):
         return f"count = {growth.nodes}"
-    if section == "capacity" and (found := CAPACITY_FIELD.match(line)):
-        return f"{found[1]} = {round(float(found[2]) * growth.machines)}"
+    if section == "capacity" and (match := CAPACITY_FIELD.match(line)):
+        return f"{match[1]} = {round(float(match[2]) * growth.machines)}"
     if section == "jobs" and line.startswith("arrivals = "):
-        return RATE.sub(lambda found: f"rate = {float(found[1]) * growth.jobs:.4f}", line)
-    if section == "jobs" and (found := INITIAL.match(line)):
-        return f"initial = {round(float(found[1]) * growth.jobs)}"
+        return ARRIVAL_RATE.sub(lambda match: f"rate = {float(match[1]) * growth.jobs:.4f}", line)
+    if section == "jobs" and (match := INITIAL_JOBS.match(line)):
+        return f"initial = {round(float(match[1]) * growth.jobs)}"
     return line
 
 
 def write_copy(site: Path, directory: Path, growth: Growth) -> Path:
-    """Write the copy, and beside it the files that a site file names, into a directory; returns the copy's path.
+    """Write the copy and the files that the site file names into a directory; return the path of the copy.
 
-    Raises OSError where the site can't be read or the copy not be written.
+    Raises OSError if the site can't be read or the copy can't be written.
     """
     directory.mkdir(parents=True, exist_ok=True)
     copy = directory / f"{growth.name}.toml"
     copy.write_text(enlarge(site.read_text(encoding="utf-8"), growth), encoding="utf-8")
-    for beside in (site.parent / "wire.json", site.with_suffix(".days")):
-        if beside.exists():
-            name = copy.with_suffix(".days").name if beside.suffix == ".days" else beside.name
-            (directory / name).write_bytes(beside.read_bytes())
+    for companion in (site.parent / "wire.json", site.with_suffix(".days")):
+        if companion.exists():
+            name = copy.with_suffix(".days").name if companion.suffix == ".days" else companion.name
+            (directory / name).write_bytes(companion.read_bytes())
     return copy
--- a/loadtest/events.py
+++ b/loadtest/events.py
@@ -1,4 +1,4 @@
-"""What happened to tasks and users, written by each process as JSON lines with the time, and read back in order."""
+"""Events of a run: each process writes its events as JSON lines, and they are read in the order of their times."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TaskOn(Struct, tag_field="kind", tag="on"):
-    """A task is on a machine, with its image."""
+    """A task starts on a machine that has its image."""
 
     at: float
     job: str
@@ -26,6 +26,8 @@
 
 
 class TaskOff(Struct, tag_field="kind", tag="off"):
+    """A task left a machine."""
+
     at: float
     job: str
     number: int
@@ -34,19 +36,21 @@
 
 
 class LeaseEnded(Struct, tag_field="kind", tag="lease"):
+    """A worker's lease has run out."""
+
     at: float
     machine: str
 
 
 class Commanded(Struct, tag_field="kind", tag="commanded"):
-    """The first starts with a token that a hollow process sees."""
+    """A hollow process received start commands with a fencing token for the first time."""
 
     at: float
     token: int
 
 
 class TokenSeen(Struct, tag_field="kind", tag="token"):
-    """A worker has learned of a token."""
+    """A worker received a higher fencing token."""
 
     at: float
     machine: str
@@ -54,20 +58,22 @@
 
 
 class Deleted(Struct, tag_field="kind", tag="deleted"):
-    """The cloud answers 200 to the machine's deletion: all that was there is gone."""
+    """The cloud has answered 200 to a machine's deletion, so all its tasks are gone."""
 
     at: float
     machine: str
 
 
 class LeaderSet(Struct, tag_field="kind", tag="leader"):
+    """A controller wrote the leader's key."""
+
     at: float
     node: str
     token: int
 
 
 class Killed(Struct, tag_field="kind", tag="killed"):
-    """The run ended a controller."""
+    """The run killed a controller; `led`: it was the leader."""
 
     at: float
     node: str
@@ -75,35 +81,45 @@
 
 
 class Submitted(Struct, tag_field="kind", tag="submitted"):
+    """A user submits a job."""
+
     at: float
     spec: Spec
 
 
 class Told(Struct, tag_field="kind", tag="told"):
+    """A response to a user named the state of a job."""
+
     at: float
     job: str
     standing: str
 
 
 class Refused(Struct, tag_field="kind", tag="refused"):
+    """A submission was rejected with an HTTP status."""
+
     at: float
     job: str
     status: int
 
 
 class Polled(Struct, tag_field="kind", tag="polled"):
+    """A user queried a job; `status` is None if there was no response."""
+
     at: float
     job: str
     status: int | None
 
 
 class Cancelling(Struct, tag_field="kind", tag="cancelling"):
+    """A user begins to request a job's cancellation."""
+
     at: float
     job: str
 
 
 class Stray(Struct, tag_field="kind", tag="stray"):
-    """A question about a job that nobody submitted."""
+    """The response to a query about a job that no user submitted."""
 
     at: float
     job: str
@@ -131,61 +147,71 @@
 
 
 class Recorder:
-    """A process's own history."""
+    """Writes the events of one process to a file in a directory."""
 
     def __init__(self, directory: Path, name: str) -> None:
         self._file = (directory / f"events-{name}.jsonl").open("ab")
 
     def write(self, event: Event) -> None:
+        """Append an event to the file's buffer."""
         self._file.write(encode(event) + b"\n")
 
     def flush(self) -> None:
+        """Write the buffered events to the file."""
         self._file.flush()
 
 
-def history(directory: Path) -> Iterator[Event]:
-    """The events of all processes, in the order of their times."""
-    yield from heapq.merge(*map(_events, sorted(directory.glob("events-*.jsonl"))), key=lambda event: event.at)
+def read_history(directory: Path) -> Iterator[Event]:
+    """Yield the events of all processes in the order of their times."""
+    yield from heapq.merge(*map(_read_events, sorted(directory.glob("events-*.jsonl"))), key=lambda event: event.at)
 
 
-def _events(path: Path) -> Iterator[Event]:
+def _read_events(path: Path) -> Iterator[Event]:
     with path.open("rb") as lines:
         for line in lines:
-            # The last line of a process that was ended may be cut.
+            # The last line of a killed process may be incomplete.
             if line.endswith(b"\n"):
                 yield decode(line)
 
 
 class UserHistory(Judge):
-    """What users must remember of their jobs while they live, and a record of all that they saw; the rules are judged
-    later, together with the workers' histories."""
+    """Keeps the records that simulated users need, and writes an event for each observation.
+
+    The rules are checked after the run, together with the workers' events.
+    """
 
     def __init__(self, now: Any, cancel_s: float, recorder: Recorder) -> None:
         super().__init__(now, cancel_s, {})
         self._recorder = recorder
 
-    def record_violation(self, rule: str, what: str) -> None:
-        """Not judged here."""
+    def record_violation(self, rule: str, description: str) -> None:
+        """Do nothing: rules are checked after the run."""
 
     def record_submission(self, spec: Spec) -> JobRecord:
+        """Write the event and return the job's record."""
         self._recorder.write(Submitted(self._now(), spec))
         return super().record_submission(spec)
 
     def record_state(self, job: str, standing: str, sent_at: float | None = None) -> None:
+        """Write the event and update the job's record."""
         self._recorder.write(Told(self._now(), job, standing))
         super().record_state(job, standing, sent_at)
 
     def record_rejection(self, job: str, status: int) -> None:
+        """Write the event."""
         self._recorder.write(Refused(self._now(), job, status))
         super().record_rejection(job, status)
 
     def record_poll(self, job: str, status: int | None) -> None:
+        """Write the event and update the job's record."""
         self._recorder.write(Polled(self._now(), job, status))
         super().record_poll(job, status)
 
     def record_cancel_request(self, job: str) -> None:
+        """Write the event and update the job's record."""
         self._recorder.write(Cancelling(self._now(), job))
         super().record_cancel_request(job)
 
     def unknown(self, job: str, status: int) -> None:
+        """Write the event."""
         self._recorder.write(Stray(self._now(), job, status))
--- a/loadtest/hollow.py
+++ b/loadtest/hollow.py
@@ -1,4 +1,4 @@
-"""A hollow process: hundreds of workers of the protocol, whose tasks only take time."""
+"""A hollow process: simulates hundreds of workers with the whole protocol, whose tasks only wait."""
 
 from __future__ import annotations
 
@@ -16,20 +16,21 @@
 from simulation.scenario import Workers
 
 OK = 200
-LONGEST_MS = 60_000
-DIGITS = 2
+MAX_RESPONSE_MS = 60_000
+SIGNIFICANT_DIGITS = 2
+"""Longest response time that the histogram holds, and its precision."""
 
 
 class Traffic:
-    """Of all workers of a process: their reports' answer times in milliseconds, and bytes."""
+    """Requests, bytes and response times in milliseconds of all workers of a process."""
 
     def __init__(self) -> None:
-        self.answers = HdrHistogram(1, LONGEST_MS, DIGITS)
+        self.answers = HdrHistogram(1, MAX_RESPONSE_MS, SIGNIFICANT_DIGITS)
         self.reports = self.unanswered = self.sent_bytes = self.received_bytes = self.commands = 0
 
 
 class TimedClient(HttpClient):
-    """A worker's client that notes what its requests take."""
+    """A worker's HTTP client that counts its requests, their bytes and their response times."""
 
     def __init__(self, reactor: Any, traffic: Traffic) -> None:
         super().__init__(reactor)
@@ -39,51 +40,55 @@
     async def call(
         self, method: str, address: Address, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> ClientResponse:
-        traffic, began = self._traffic, self._seconds()
+        """Send a request; raises ConnectionFailedError or NoResponseError as HttpClient does."""
+        traffic, started_at = self._traffic, self._seconds()
         traffic.reports += 1
         traffic.sent_bytes += len(body or b"")
         try:
-            reply = await super().call(method, address, path, body, timeout)
+            response = await super().call(method, address, path, body, timeout)
         except Exception:
             traffic.unanswered += 1
             raise
-        if reply.status != OK:
-            # It goes to another node, and keeps no connection to this one (the protocol).
+        if response.status != OK:
+            # The worker goes to another node and, by the protocol, keeps no connection to this one.
             self._pool.closeCachedConnections()
-        traffic.received_bytes += len(reply.body)
-        traffic.answers.record_value(max(1, min(LONGEST_MS, round(1000 * (self._seconds() - began)))))
-        return reply
+        traffic.received_bytes += len(response.body)
+        traffic.answers.record_value(max(1, min(MAX_RESPONSE_MS, round(1000 * (self._seconds() - started_at)))))
+        return response
 
 
-class Histories:
-    """Stands for the lab's judge towards machines: what they tell is written down."""
+class TaskEventWriter:
+    """Receives the observations of machines in place of a judge, and writes them as events."""
 
     def __init__(self, seconds: Any, recorder: Recorder) -> None:
         self._seconds = seconds
         self._recorder = recorder
 
     def task_on(self, job: str, number: int, machine: str, type_: str, zone: str, spot: bool) -> None:
+        """Write that a task starts on a machine."""
         self._recorder.write(TaskOn(self._seconds(), job, number, machine, type_, zone, spot))
 
-    def task_off(self, job: str, number: int, machine: str, why: str) -> None:
-        self._recorder.write(TaskOff(self._seconds(), job, number, machine, why))
+    def task_off(self, job: str, number: int, machine: str, reason: str) -> None:
+        """Write that a task left a machine."""
+        self._recorder.write(TaskOff(self._seconds(), job, number, machine, reason))
 
 
 class HollowWorker(Machine):
-    """The lab's worker, with a note of each lease that ends and each token that it learns."""
+    """A simulated worker that writes an event for each ended lease and each higher token."""
 
     def __init__(
-        self, world: SharedState, machine: dict[str, Any], host: Any, recorder: Recorder, traffic: Traffic
+        self, shared: SharedState, machine: dict[str, Any], host: Any, recorder: Recorder, traffic: Traffic
     ) -> None:
-        super().__init__(world, machine, host)
+        super().__init__(shared, machine, host)
         self._client = TimedClient(host, traffic)
         self._recorder = recorder
         self._traffic = traffic
 
-    def stop(self, why: str) -> None:
-        if why == "lease":
+    def stop(self, reason: str) -> None:
+        """End all tasks; the reason `lease` is recorded."""
+        if reason == "lease":
             self._recorder.write(LeaseEnded(self.now, self.machine["id"]))
-        super().stop(why)
+        super().stop(reason)
 
     def _on_token_seen(self, token: int) -> None:
         if token > self.token:
@@ -96,7 +101,7 @@
 
 
 class HollowProcess:
-    """All workers of one process."""
+    """All workers of one hollow process; `rack_workers` machines with consecutive numbers form a rack."""
 
     def __init__(
         self,
@@ -113,57 +118,57 @@
         self._rack_workers = rack_workers
         self._recorder = recorder
         self._simulation = RealTime(reactor, seed * 1_000 + number)
-        histories: Any = Histories(reactor.seconds, recorder)
+        task_events: Any = TaskEventWriter(reactor.seconds, recorder)
         simulation: Any = self._simulation
-        self.world = SharedState(simulation, histories, facts, nodes)
-        self.world.on_start_commands = self._started
+        self.shared = SharedState(simulation, task_events, facts, nodes)
+        self.shared.on_start_commands = self._on_start_commands
         self.workers: dict[str, tuple[HollowWorker, Host]] = {}
         self.traffic = Traffic()
         self._tokens: set[int] = set()
 
-    def heard(self, message: bus.Message) -> None:
-        """Takes what concerns workers."""
+    def on_message(self, message: bus.Message) -> None:
+        """Handle messages about machines, jobs and racks."""
         if isinstance(message, bus.MachineUp) and message.hollow == self._number:
-            self._up(message.machine)
+            self._start_worker(message.machine)
         elif isinstance(message, bus.MachineGone) and message.name in self.workers:
-            self._gone(message.name)
+            self._remove_worker(message.name)
         elif isinstance(message, bus.JobUploaded):
-            luck = Random(message.spec["id"])
-            run_s = [message.run_s * luck.uniform(0.7, 1.3) for _ in range(message.spec["heads"])]
-            self.world.uploaded_jobs[message.spec["id"]] = UploadedJob(message.spec, run_s)
+            random = Random(message.spec["id"])
+            run_s = [message.run_s * random.uniform(0.7, 1.3) for _ in range(message.spec["heads"])]
+            self.shared.uploaded_jobs[message.spec["id"]] = UploadedJob(message.spec, run_s)
         elif isinstance(message, bus.RackGone):
-            self._rack_gone(message)
+            self._disconnect_rack(message)
 
-    def _started(self, token: int) -> None:
+    def _on_start_commands(self, token: int) -> None:
         if token not in self._tokens:
             self._tokens.add(token)
             self._recorder.write(Commanded(self._reactor.seconds(), token))
 
-    def _up(self, machine: dict[str, Any]) -> None:
+    def _start_worker(self, machine: dict[str, Any]) -> None:
         host = Host(self._reactor, self._simulation, machine["addr"].rpartition(":")[0])
-        worker = HollowWorker(self.world, machine, host, self._recorder, self.traffic)
+        worker = HollowWorker(self.shared, machine, host, self._recorder, self.traffic)
         self.workers[machine["id"]] = (worker, host)
         worker.start()
 
-    def _gone(self, name: str) -> None:
+    def _remove_worker(self, name: str) -> None:
         worker, host = self.workers.pop(name)
         worker.stop("deleted")
         worker.mute = worker.deaf = True
         worker.is_gone = True
         host.close()
 
-    def _rack_gone(self, message: bus.RackGone) -> None:
+    def _disconnect_rack(self, message: bus.RackGone) -> None:
         for name, (worker, _) in self.workers.items():
             if machine_number(name) // self._rack_workers == message.rack:
                 worker.mute = worker.deaf = True
-                self._reactor.callLater(message.for_s, self._rack_back, name)
+                self._reactor.callLater(message.for_s, self._reconnect_worker, name)
 
-    def _rack_back(self, name: str) -> None:
+    def _reconnect_worker(self, name: str) -> None:
         if name in self.workers:
             worker, _ = self.workers[name]
             worker.mute = worker.deaf = False
 
 
 def machine_number(name: str) -> int:
-    """Machines are numbered in the order of their rentals."""
+    """The number in a machine's id; machines are numbered in the order of their creation."""
     return int(name.removeprefix("i-"))
--- a/loadtest/plan.py
+++ b/loadtest/plan.py
@@ -1,4 +1,4 @@
-"""A plan of a scale run, read from TOML and checked field by field before anything is started."""
+"""Reads plans of load tests from TOML files and validates them before anything is started."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from simulation.fields import Amount, Count, Name, Seconds, Share, Span
 from simulation.scenario import Cloud, State, Team, Type, Workers
 
-MOST_PROCESSES = 100
-SERVICES = 4
-"""Processes beside controllers and hollow ones: the run itself, state service, cloud, users."""
+MAX_PROCESSES = 100
+SERVICE_PROCESSES = 4
+"""Number of processes beside controllers and hollow processes: the run itself, state service, cloud, users."""
 
 
 class PlanError(Exception):
-    """File, field and what was expected."""
+    """A plan is unusable; the message names the file, the field and the expected value."""
 
 
 class Load(Struct, forbid_unknown_fields=True):
-    """Jobs of one class, arriving at a rate, each with half to one and a half times `tasks` tasks."""
+    """Jobs of one class that arrive at a rate; each has between 0.5 and 1.5 times `tasks` tasks."""
 
     job_class: Name = field(name="class")
     team: Name
     rate: Annotated[float, Meta(gt=0, le=1000)]
-    """Jobs a second."""
+    """Jobs per second."""
     tasks: Count = 10
     run_s: Span = 20.0
     priority: Literal["critical", "urgent", "normal", "idle"] = "normal"
@@ -36,30 +36,30 @@
     image_gb: Amount = 0.2
     images: Count = 4
     initial: Annotated[int, Meta(ge=0, le=100_000)] = 0
-    """Jobs that wait at the start."""
+    """Number of jobs that are submitted at the start."""
     deadline_s: Span | None = None
     cancelled: Share = 0.0
-    """The share whose users cancel them, while they run."""
+    """Share of the jobs that their users cancel while they run."""
 
 
 class Fault(Struct, forbid_unknown_fields=True):
-    """One trouble at a set time."""
+    """One fault at a set time."""
 
     kind: Literal["controller_kill", "hollow_stop", "rack_gone", "store_outage", "store_slow"]
     at_s: Seconds
     node: str = "leader"
-    """Of `controller_kill`: a controller's name, `leader`, or `relay`, any that does not lead."""
+    """For `controller_kill`: a controller's name, `leader`, or `relay` for a controller that does not lead."""
     back_s: Span = 6.0
-    """Of `controller_kill`: when it is started again."""
+    """For `controller_kill`: seconds until the controller is started again."""
     for_s: Span = 10.0
     number: Annotated[int, Meta(ge=0, le=10_000)] = 0
-    """Of `hollow_stop` the process, of `rack_gone` the rack."""
+    """For `hollow_stop` the number of the process, for `rack_gone` of the rack."""
     factor: Annotated[float, Meta(ge=1, le=1000)] = 10.0
-    """Of `store_slow`."""
+    """For `store_slow`: factor of the store's response times."""
 
 
 class Limits(Struct, forbid_unknown_fields=True):
-    """What a controller may use; sockets are enforced, the others are told to it."""
+    """Limits of a controller in cores, MB and sockets; only sockets are enforced, the controller reads the others."""
 
     cpu: Annotated[float, Meta(gt=0, le=64)] = 1.0
     mem_mb: Annotated[float, Meta(gt=0, le=65536)] = 512.0
@@ -67,11 +67,13 @@
 
 
 class Plan(Struct, forbid_unknown_fields=True):
+    """A load test with its deployment, jobs and faults."""
+
     name: Name
     duration_s: Span
     workers: Count
-    """At most so many machines at a time, whatever their types allow."""
-    hollow_processes: Annotated[int, Meta(ge=1, le=MOST_PROCESSES)]
+    """Largest number of machines at a time, whatever their types allow."""
+    hollow_processes: Annotated[int, Meta(ge=1, le=MAX_PROCESSES)]
     loads: Annotated[list[Load], Meta(min_length=1)]
     types: Annotated[list[Type], Meta(min_length=1)]
     teams: Annotated[list[Team], Meta(min_length=1)]
@@ -80,10 +82,10 @@
     seed: Annotated[int, Meta(ge=0)] = 1
     interval_s: Span = 2.0
     drain_s: Seconds = 20.0
-    """Nothing is submitted any more in the last so many seconds."""
+    """Seconds at the end of the run in which no jobs are submitted."""
     rack_workers: Count = 40
     stretch: Annotated[float, Meta(ge=1, le=100)] = 1.0
-    """All times take so much longer, and all rates are so much lower: where a machine can't play it in real time."""
+    """Factor by which all times are longer and all rates lower, for a machine that is too slow for the plan."""
     relays: Literal["auto", "always", "never"] = "auto"
     facts: Workers = field(default_factory=Workers)
     state: State = field(default_factory=State)
@@ -92,11 +94,12 @@
     faults: list[Fault] = []
 
     def controller_names(self) -> list[str]:
+        """The names of all controllers."""
         return [f"n{number}" for number in range(self.controllers)]
 
 
 def load(path: str) -> Plan:
-    """Raises PlanError."""
+    """Read and validate a plan; raises PlanError."""
     try:
         with open(path, "rb") as file:
             plan = msgspec.convert(tomllib.load(file), Plan)
@@ -108,15 +111,15 @@
 
 
 def check(plan: Plan, where: str) -> Plan:
-    """What single fields can't tell. Raises PlanError."""
-    processes = SERVICES + plan.controllers + plan.hollow_processes
-    if processes > MOST_PROCESSES:
-        raise PlanError(f"{where}: $.hollow_processes: {processes} processes in all, expected {MOST_PROCESSES} at most")
+    """Validate combinations of fields; `where` is the file's name for messages. Raises PlanError."""
+    processes = SERVICE_PROCESSES + plan.controllers + plan.hollow_processes
+    if processes > MAX_PROCESSES:
+        raise PlanError(f"{where}: $.hollow_processes: {processes} processes in all, expected {MAX_PROCESSES} at most")
     teams = {team.name for team in plan.teams}
-    for number, one in enumerate(plan.loads):
-        if one.team not in teams:
+    for number, load in enumerate(plan.loads):
+        if load.team not in teams:
             raise PlanError(
-                f"{where}: $.loads[{number}].team: `{one.team}`: expected one of {', '.join(sorted(teams))}"
+                f"{where}: $.loads[{number}].team: `{load.team}`: expected one of {', '.join(sorted(teams))}"
             )
     for number, fault in enumerate(plan.faults):
         if fault.at_s >= plan.duration_s:
@@ -129,7 +132,7 @@
 
 
 def stretched(plan: Plan) -> Plan:
-    """The plan as it is played: all times longer and all rates lower by its factor."""
+    """The plan as it is run: all times are longer and all rates lower by its factor `stretch`."""
     factor = plan.stretch
     if factor == 1.0:
         return plan
@@ -142,15 +145,15 @@
         facts=replace(facts, **{**times, "fetch_gb_per_s": facts.fetch_gb_per_s / factor}),
         state=replace(state, rps=state.rps / factor, write_rps=state.write_rps / factor),
         cloud=replace(cloud, rps=cloud.rps / factor, list_lag_s=cloud.list_lag_s * factor),
-        types=[replace(one, boot_s=one.boot_s * factor) for one in plan.types],
-        loads=[_slower(one, factor) for one in plan.loads],
+        types=[replace(machine_type, boot_s=machine_type.boot_s * factor) for machine_type in plan.types],
+        loads=[_slow_down(load, factor) for load in plan.loads],
         faults=[
-            replace(one, at_s=one.at_s * factor, for_s=one.for_s * factor, back_s=one.back_s * factor)
-            for one in plan.faults
+            replace(fault, at_s=fault.at_s * factor, for_s=fault.for_s * factor, back_s=fault.back_s * factor)
+            for fault in plan.faults
         ],
     )
 
 
-def _slower(one: Load, factor: float) -> Load:
-    deadline = one.deadline_s * factor if one.deadline_s is not None else None
-    return replace(one, rate=one.rate / factor, run_s=one.run_s * factor, deadline_s=deadline)
+def _slow_down(load: Load, factor: float) -> Load:
+    deadline_s = load.deadline_s * factor if load.deadline_s is not None else None
+    return replace(load, rate=load.rate / factor, run_s=load.run_s * factor, deadline_s=deadline_s)
--- a/loadtest/report.py
+++ b/loadtest/report.py
@@ -1,4 +1,4 @@
-"""Compares runs: a table of figures, and curves against the number of workers."""
+"""Compares runs in a table of figures and in plots against the number of workers."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from loadtest.run import Interval
 
 _decode = msgspec.json.Decoder(Interval).decode
-WARM_UP = 0.25
-"""The first part of a run, in which machines boot, counts in no mean."""
+WARM_UP_SHARE = 0.25
+"""Share of a run at its start, while machines boot, that is left out of all figures."""
 
 
 def role_of(name: str, leader: str | None) -> str:
-    """Of a process in an interval."""
+    """The role of a process in an interval with this leader."""
     if name == leader:
         return "leader"
     if name.startswith("n") and name[1:].isdigit():
@@ -26,25 +26,25 @@
 
 
 def usage_by_role(intervals: list[Interval]) -> dict[str, dict[str, float]]:
-    """Mean and peak of processor, and peaks of memory and sockets, of single processes by role."""
-    counted = intervals[int(WARM_UP * len(intervals)) :]
+    """Mean and peak processor use, and peaks of memory and sockets, of single processes by role."""
+    measured = intervals[int(WARM_UP_SHARE * len(intervals)) :]
     by_role: dict[str, list[Any]] = {}
-    for interval in counted:
+    for interval in measured:
         for usage in interval.processes:
             by_role.setdefault(role_of(usage.name, interval.leader), []).append(usage)
     return {
         role: {
-            "processor_mean": round(sum(one.processor for one in ones) / len(ones), 3),
-            "processor_peak": max(one.processor for one in ones),
-            "memory_peak_mb": max(one.memory_mb for one in ones),
-            "sockets_peak": max(one.sockets for one in ones),
+            "processor_mean": round(sum(sample.processor for sample in usages) / len(usages), 3),
+            "processor_peak": max(sample.processor for sample in usages),
+            "memory_peak_mb": max(sample.memory_mb for sample in usages),
+            "sockets_peak": max(sample.sockets for sample in usages),
         }
-        for role, ones in sorted(by_role.items())
+        for role, usages in sorted(by_role.items())
     }
 
 
 def with_usage(summary: dict[str, Any], directory: Path) -> dict[str, Any]:
-    """The summary, and what processes used by their role."""
+    """The summary with the usage of processes by role, read from the run's directory."""
     lines = (directory / "intervals.jsonl").read_bytes().splitlines()
     return {**summary, "usage": usage_by_role([_decode(line) for line in lines])}
 
@@ -69,15 +69,15 @@
 )
 
 
-def row(name: str, summary: dict[str, Any]) -> list[str]:
+def summary_row(name: str, summary: dict[str, Any]) -> list[str]:
     """One run's figures, in the order of `COLUMNS`."""
-    none = {"processor_mean": 0.0, "processor_peak": 0.0, "memory_peak_mb": 0.0, "sockets_peak": 0}
-    leader = summary["usage"].get("leader", none)
-    others = summary["usage"].get("other controllers", none)
+    no_usage = {"processor_mean": 0.0, "processor_peak": 0.0, "memory_peak_mb": 0.0, "sockets_peak": 0}
+    leader = summary["usage"].get("leader", no_usage)
+    others = summary["usage"].get("other controllers", no_usage)
     starts = max(1, summary["starts"])
     return [
-        str(one)
-        for one in (
+        str(figure)
+        for figure in (
             name,
             summary["workers"],
             summary["stretch"],
@@ -99,7 +99,7 @@
 
 
 def report(directories: list[Path], plot: str | None) -> int:
-    """Print the table, and draw the curves where a file is named; exit 2 if a run has no summary."""
+    """Print the table, and draw the plots if `plot` names a file; return 2 if a run has no summary, else 0."""
     summaries = []
     for directory in directories:
         try:
@@ -110,7 +110,7 @@
     print("| " + " | ".join(COLUMNS) + " |")
     print("| " + " | ".join("---" for _ in COLUMNS) + " |")
     for name, summary in summaries:
-        print("| " + " | ".join(row(name, summary)) + " |")
+        print("| " + " | ".join(summary_row(name, summary)) + " |")
     if plot is not None:
         draw(summaries, plot)
     return 0
@@ -125,7 +125,7 @@
 
 
 def draw(summaries: list[tuple[str, dict[str, Any]]], path: str) -> None:
-    """A curve a setting of relays, for each figure of `CURVES`."""
+    """Draw a plot for each figure of `CURVES`, with one curve per setting of relays."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/loadtest/verdict.py
+++ b/loadtest/verdict.py
@@ -1,4 +1,4 @@
-"""Judges a run by the workers' own histories, and sums up its figures."""
+"""Checks the rules over the events of a run, and summarizes its figures."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from loadtest import events as e
 from loadtest.child import Tally
-from loadtest.hollow import DIGITS, LONGEST_MS
+from loadtest.hollow import MAX_RESPONSE_MS, SIGNIFICANT_DIGITS
 from loadtest.plan import Plan
 from simulation.judge import JobRecord, Judge
 
@@ -22,46 +22,45 @@
 
 
 class Takeover(Struct):
-    """Of one end of a leader, in seconds from it."""
+    """The takeover after a leader was killed; times are in seconds from the kill."""
 
     at_s: float
     elected_s: float | None = None
     first_start_s: float | None = None
     half_of_workers_s: float | None = None
     all_workers_s: float | None = None
-    """Until half, and 99 of 100, of the workers that had the token before knew the next one."""
+    """Until 50% (`half_of_workers_s`) and 99% of the workers with the old token received a newer one."""
 
 
 class Replay:
-    """Feeds the histories to the lab's judge in the order of their times."""
+    """Passes the events of a run to a judge in the order of their times, and collects figures."""
 
-    def __init__(self, plan: Plan, began: float) -> None:
-        self._began = began
-        self._now = began
+    def __init__(self, plan: Plan, started_at: float) -> None:
+        self._started_at = started_at
+        self._now = started_at
         limits = {team.name: team.cpus_max for team in plan.teams}
-        self.judge = Judge(lambda: self._now - began, plan.facts.cancel_s, limits)
-        self._on: dict[str, set[tuple[str, int]]] = {}
-        """By machine, the tasks on it."""
+        self.judge = Judge(lambda: self._now - started_at, plan.facts.cancel_s, limits)
+        self._tasks_by_machine: dict[str, set[tuple[str, int]]] = {}
         self._deleted: set[str] = set()
         self.starts: Counter[int] = Counter()
-        """By second."""
+        """Number of started tasks by second."""
         self.leases_ended = 0
         self.lost = Counter[str]()
         self.takeovers: list[Takeover] = []
         self._tokens: dict[str, int] = {}
-        self._learned: dict[int, list[float]] = {}
-        self._awaited: list[tuple[Takeover, float, int, int]] = []
+        self._token_times: dict[int, list[float]] = {}
+        self._kills: list[tuple[Takeover, float, int, int]] = []
 
-    def play(self, history: Iterator[e.Event]) -> None:
-        """All of it; the rules are judged as it goes, and at its end."""
-        for event in history:
+    def play(self, events: Iterator[e.Event]) -> None:
+        """Process all events; rules are checked on the way and at the end."""
+        for event in events:
             self._now = max(self._now, event.at)
-            self._take(event)
+            self._process(event)
         self.judge.finish()
-        for takeover, killed_at, before, workers in self._awaited:
-            self._learned_by(takeover, killed_at, before, workers)
+        for takeover, killed_at, old_token, workers in self._kills:
+            self._measure_token_times(takeover, killed_at, old_token, workers)
 
-    def _take(self, event: e.Event) -> None:
+    def _process(self, event: e.Event) -> None:
         judge = self.judge
         match event:
             case e.TaskOn():
@@ -72,7 +71,7 @@
             case e.LeaseEnded():
                 self.leases_ended += 1
             case e.Deleted():
-                for job, number in sorted(self._on.pop(event.machine, set())):
+                for job, number in sorted(self._tasks_by_machine.pop(event.machine, set())):
                     self._task_off(event.machine, job, number, "deleted")
                 self._deleted.add(event.machine)
                 self._tokens.pop(event.machine, None)
@@ -89,97 +88,106 @@
             case e.Stray():
                 judge.unknown(event.job, event.status)
             case e.Killed() if event.led:
-                self.takeovers.append(Takeover(round(event.at - self._began, 3)))
-                before = max(self._tokens.values(), default=0)
-                self._awaited.append((self.takeovers[-1], event.at, before, len(self._tokens)))
+                self.takeovers.append(Takeover(round(event.at - self._started_at, 3)))
+                old_token = max(self._tokens.values(), default=0)
+                self._kills.append((self.takeovers[-1], event.at, old_token, len(self._tokens)))
             case e.LeaderSet() if self.takeovers and self.takeovers[-1].elected_s is None:
-                self.takeovers[-1].elected_s = round(event.at - self._awaited[-1][1], 3)
-            case e.Commanded() if self._awaited and event.token > self._awaited[-1][2]:
+                self.takeovers[-1].elected_s = round(event.at - self._kills[-1][1], 3)
+            case e.Commanded() if self._kills and event.token > self._kills[-1][2]:
                 if self.takeovers[-1].first_start_s is None:
-                    self.takeovers[-1].first_start_s = round(event.at - self._awaited[-1][1], 3)
+                    self.takeovers[-1].first_start_s = round(event.at - self._kills[-1][1], 3)
             case e.TokenSeen():
                 self._tokens[event.machine] = event.token
-                self._learned.setdefault(event.token, []).append(event.at)
+                self._token_times.setdefault(event.token, []).append(event.at)
 
     def _task_on(self, event: e.TaskOn) -> None:
         if event.machine in self._deleted:
             return
-        self._on.setdefault(event.machine, set()).add((event.job, event.number))
-        self.starts[int(event.at - self._began)] += 1
+        self._tasks_by_machine.setdefault(event.machine, set()).add((event.job, event.number))
+        self.starts[int(event.at - self._started_at)] += 1
         self.judge.task_on(event.job, event.number, event.machine, event.type, event.zone, event.spot)
 
-    def _task_off(self, machine: str, job: str, number: int, why: str) -> None:
-        self._on.get(machine, set()).discard((job, number))
-        if why != "done":
-            self.lost[why] += 1
-        self.judge.task_off(job, number, machine, why)
-
-    def _learned_by(self, takeover: Takeover, killed_at: float, before: int, workers: int) -> None:
-        times = sorted(at for token, seen in self._learned.items() if token > before for at in seen if at >= killed_at)
+    def _task_off(self, machine: str, job: str, number: int, reason: str) -> None:
+        self._tasks_by_machine.get(machine, set()).discard((job, number))
+        if reason != "done":
+            self.lost[reason] += 1
+        self.judge.task_off(job, number, machine, reason)
+
+    def _measure_token_times(self, takeover: Takeover, killed_at: float, old_token: int, workers: int) -> None:
+        times = sorted(
+            at
+            for token, received_at in self._token_times.items()
+            if token > old_token
+            for at in received_at
+            if at >= killed_at
+        )
         if workers and len(times) >= 0.99 * workers:
             takeover.half_of_workers_s = round(times[workers // 2] - killed_at, 3)
             takeover.all_workers_s = round(times[int(0.99 * workers) - 1] - killed_at, 3)
 
 
 def percentiles(values: list[float]) -> dict[str, float]:
-    """Of seconds, by nearest rank; nothing of nothing."""
+    """Percentiles of durations in seconds by nearest rank; empty without values."""
     ordered = sorted(values)
     return (
-        {f"p{p:g}": round(ordered[min(len(ordered) - 1, int(len(ordered) * p / 100))], 3) for p in PERCENTILES}
+        {
+            f"p{percent:g}": round(ordered[min(len(ordered) - 1, int(len(ordered) * percent / 100))], 3)
+            for percent in PERCENTILES
+        }
         if (ordered)
         else {}
     )
 
 
-def _waits(jobs: list[JobRecord]) -> dict[str, Any]:
-    """Of one class: submissions, how long they took, and how long until a first task was on a machine."""
-    accepted = [one.accepted_at - one.submitted_at for one in jobs if one.accepted_at is not None]
-    begun = [one.first_started_at - one.submitted_at for one in jobs if one.first_started_at is not None]
+def _summarize_class(jobs: list[JobRecord]) -> dict[str, Any]:
+    """Figures of one class: numbers of jobs, and times until their acceptance and until their first task started."""
+    accepted = [job.accepted_at - job.submitted_at for job in jobs if job.accepted_at is not None]
+    started = [job.first_started_at - job.submitted_at for job in jobs if job.first_started_at is not None]
     return {
         "jobs": len(jobs),
         "accepted": len(accepted),
-        "begun": len(begun),
-        "done": sum(one.told == "done" for one in jobs),
+        "begun": len(started),
+        "done": sum(job.told == "done" for job in jobs),
         "accepted_s": percentiles(accepted),
-        "begun_s": percentiles(begun),
+        "begun_s": percentiles(started),
     }
 
 
-def tallies(directory: Path) -> dict[str, list[Tally]]:
-    """What each process counted, by its name."""
-    found = {}
+def read_tallies(directory: Path) -> dict[str, list[Tally]]:
+    """Read the tallies of each process, by its name."""
+    by_process = {}
     for path in sorted(directory.glob("tally-*.jsonl")):
         lines = [line for line in path.read_bytes().split(b"\n") if line]
-        found[path.stem.removeprefix("tally-")] = [_decode_tally(line) for line in lines]
-    return found
+        by_process[path.stem.removeprefix("tally-")] = [_decode_tally(line) for line in lines]
+    return by_process
 
 
-def _reports(last: list[Tally]) -> dict[str, Any]:
-    """Of all workers: their reports' answer times in milliseconds, counts and bytes."""
-    answers = HdrHistogram(1, LONGEST_MS, DIGITS)
+def _summarize_reports(last: list[Tally]) -> dict[str, Any]:
+    """Counts, bytes and response times in milliseconds of the heartbeats of all workers, from their last tallies."""
+    answers = HdrHistogram(1, MAX_RESPONSE_MS, SIGNIFICANT_DIGITS)
     for tally in last:
         if tally.answers:
             answers.decode_and_add(tally.answers)
     return {
-        "count": sum(one.reports for one in last),
-        "unanswered": sum(one.unanswered for one in last),
-        "commands": sum(one.commands for one in last),
-        "sent_bytes": sum(one.sent_bytes for one in last),
-        "received_bytes": sum(one.received_bytes for one in last),
-        "answer_ms": {f"p{p:g}": answers.get_value_at_percentile(p) for p in PERCENTILES},
+        "count": sum(process_tally.reports for process_tally in last),
+        "unanswered": sum(process_tally.unanswered for process_tally in last),
+        "commands": sum(process_tally.commands for process_tally in last),
+        "sent_bytes": sum(process_tally.sent_bytes for process_tally in last),
+        "received_bytes": sum(process_tally.received_bytes for process_tally in last),
+        "answer_ms": {f"p{percent:g}": answers.get_value_at_percentile(percent) for percent in PERCENTILES},
     }
 
 
-def sum_up(plan: Plan, directory: Path, began: float) -> dict[str, Any]:
-    """The summary of a run whose histories and tallies are in a directory."""
-    replay = Replay(plan, began)
-    replay.play(e.history(directory))
+def summarize_run(plan: Plan, directory: Path, started_at: float) -> dict[str, Any]:
+    """The summary of a run whose events and tallies are in a directory; `started_at`: its start as a Unix time."""
+    replay = Replay(plan, started_at)
+    replay.play(e.read_history(directory))
     judge = replay.judge
-    counted = tallies(directory)
-    last = {name: ones[-1] for name, ones in counted.items() if ones}
+    by_process = read_tallies(directory)
+    last = {name: process_tallies[-1] for name, process_tallies in by_process.items() if process_tallies}
     classes: dict[str, list[JobRecord]] = {}
-    for seen in judge.jobs.values():
-        classes.setdefault(seen.spec.job_class, []).append(seen)
+    for record in judge.jobs.values():
+        classes.setdefault(record.spec.job_class, []).append(record)
     state = last.get("state0", Tally(0.0, "state0"))
     busiest = sorted(replay.starts.values(), reverse=True)
     return {
@@ -199,8 +207,8 @@
         },
         "leases_ended": replay.leases_ended,
         "ends_without_done": dict(replay.lost),
-        "classes": {name: _waits(jobs) for name, jobs in sorted(classes.items())},
+        "classes": {name: _summarize_class(jobs) for name, jobs in sorted(classes.items())},
         "takeovers": msgspec.to_builtins(replay.takeovers),
-        "reports": _reports([one for name, one in last.items() if name.startswith("hollow")]),
+        "reports": _summarize_reports([tally for name, tally in last.items() if name.startswith("hollow")]),
         "store": {"requests": state.store_requests, "changes": state.store_changes, "refused": state.store_refused},
     }
