--- a/tests/support/combined_failures.py
+++ b/tests/support/combined_failures.py
@@ -15,7 +15,7 @@
 
 from simulation.scenario import Fault, Jobs, Team, Type, load
 from simulation.world import Lab
-from tests.simulation.test_isolation_and_starvation import MIX, WHERE
+from tests.simulation.test_isolation_and_starvation import COMBINED_FAULTS, WHERE
 
 DURATION_S = 200.0
 """Simulated seconds: long tasks can still complete after a store outage of 45 s, in which all leases expire."""
@@ -61,11 +61,11 @@
         {"kind": "late_writes", "at_s": rng.uniform(10.0, 60.0), "for_s": 25.0, "share": 0.3, "at_once": True},
         {"kind": "report_copies", "at_s": 10.0, "for_s": 70.0, "factor": 1.0, "for_next": True},
     ]
-    # MIX has its counts for a cluster of fewer machines; here they are six times as high.
+    # COMBINED_FAULTS has its counts for a cluster of fewer machines; here they are six times as high.
     scaled_kinds = {"machine_deaf", "machine_back"}
     return [
         fault | {"count": fault["count"] * 6} if fault["kind"] in scaled_kinds else fault
-        for fault in (*rng.sample(MIX, 5), *rng.sample(other_faults, 8))
+        for fault in (*rng.sample(COMBINED_FAULTS, 5), *rng.sample(other_faults, 8))
     ]
 
 
