--- a/meadowcross/autoscaling/decommissioning.py
+++ b/meadowcross/autoscaling/decommissioning.py
@@ -116,7 +116,7 @@
     def _on_deleted(self, machine_id: MachineId) -> None:
         machine = self._context.machines().get(machine_id)
         if machine is not None and machine.is_up and machine.reclaim_at is None:
-            # The cloud has capacity for this kind again. Once 250 dead machines were deleted one second after a
+            # The cloud has capacity for this kind again. Once 250 failed machines were deleted one second after a
             # refusal, and their kind was not requested for ten more seconds.
             self._availability.mark_available(machine.kind)
         self._deleted[machine_id] = None
--- a/meadowcross/autoscaling/machine_checks.py
+++ b/meadowcross/autoscaling/machine_checks.py
@@ -13,7 +13,7 @@
 from meadowcross.workers.machine import Machine
 
 DEAD_MACHINE_LISTED_S: Seconds = 30.0
-"""The cloud lists a dead machine as running for about this long."""
+"""The cloud lists a failed machine as running for about this long."""
 UNKNOWN_TYPE_BOOT_TIMEOUT_S: Seconds = 180.0
 """Boot timeout of a machine whose type is unknown."""
 MIN_TERM_AGE_S: Seconds = 10.0
--- a/meadowcross/autoscaling/silence_timeouts.py
+++ b/meadowcross/autoscaling/silence_timeouts.py
@@ -29,7 +29,7 @@
 
     `known_by_zone` counts the machines that have ever reported, `silent_by_zone` (with the same zones) those of them
     that are silent now. `cloud_list_timeout_s` is the timeout for a partitioned zone: the time after which the cloud's
-    list shows which machines are dead.
+    list shows which machines have failed.
     """
     silent_count = sum(silent_by_zone.values())
     if silent_count <= MAX_INDIVIDUAL_FAILURES or silent_count * 2 <= sum(known_by_zone.values()):
--- a/meadowcross/estimates/messages.py
+++ b/meadowcross/estimates/messages.py
@@ -69,7 +69,7 @@
 
 
 class EntryRecord(Struct):
-    """The stored form of `learned.Entry`: run times of a class, a team or all work, or errors of forecasts."""
+    """The stored form of `run_time_model.Entry`: run times of a class, a team or all work, or errors of forecasts."""
 
     v: int
     name: Annotated[str, Meta(max_length=400)]
--- a/meadowcross/estimates/run_time_model.py
+++ b/meadowcross/estimates/run_time_model.py
@@ -67,7 +67,7 @@
 """A class's run times are used instead of its ratios to the guess if their error is below this share of the ratios'."""
 DEVIATION_DECAY = 0.9
 WIDTH_STEP, MIN_WIDTH_STEP_WEIGHT = 0.06, 0.2
-"""How fast the stated intervals are stretched or narrowed until they cover what they state."""
+"""How fast the stated intervals are stretched or narrowed until their coverage is the stated one."""
 MIN_LOG_WIDTH, MAX_LOG_WIDTH = -1.5, 1.5
 MACHINE_DECAY = 0.7
 MIN_MACHINE_SAMPLES = 3
@@ -162,7 +162,7 @@
         self.log_widths = [[0.0, 0.0, 0.0], [0.0, 0.0, 0.0]]
         """Logarithms of the factors that stretch the stated intervals: for a job's first sample; for later ones."""
         self.subgroups: OrderedDict[str, DecayingSketch] = OrderedDict()
-        """Run times over what the class predicted, by subgroup; the most recently used last."""
+        """Ratios of run times to the class's predictions, by subgroup; the most recently used last."""
         self.overdue: Overdue = []
         """Overdue jobs without samples of their own."""
 
@@ -178,7 +178,7 @@
 
 
 class _JobSamples:
-    """How a job's own samples compare with what its class predicted at the time."""
+    """How a job's own samples compare with its class's predictions at the time."""
 
     __slots__ = ("count", "mean_log_error", "overdue")
 
@@ -280,7 +280,7 @@
             return cached
 
     def curve(self, features: RunFeatures) -> Curve:
-        """Return the predicted distribution, its stated intervals stretched to cover what they state."""
+        """Return the predicted distribution, its intervals stretched to their stated coverage."""
         with self._lock:
             entry = self._find_entry(m.class_entry_name(features.job_class))
             log_quantiles = self._expected(features)[1]
--- a/meadowcross/leadership/completion_forecaster.py
+++ b/meadowcross/leadership/completion_forecaster.py
@@ -1,7 +1,7 @@
 """Forecasts when open jobs will be done, for users' queries.
 
 `estimates.completion_time` computes the median. The interval around it follows from the errors of recent medians in the
-same stage: whether the job still waits for room, and its priority.
+same stage: whether the job still waits for capacity, and its priority.
 """
 
 from __future__ import annotations
@@ -80,7 +80,7 @@
         self.machine_types = {t.name: t for t in machine_types}
         self.expected_boot_s = expected_boot_s
         self.creatable_kinds = [(kind, t) for kind, t in list_machine_kinds(machine_types) if may_create(kind)]
-        """The machine kinds that would be created for tasks without room."""
+        """The machine kinds that would be created for tasks without capacity."""
         cpus = self._count_machines(worker_registry)
         self.queue_wait_s = self._compute_queue_waits(scheduling_view, cpus)
 
@@ -112,8 +112,8 @@
     def estimate_start(self, job: Job) -> tuple[int, Seconds]:
         """Returns how many of the job's tasks can run at once, and the seconds until its waiting tasks can start.
 
-        Machines are created for tasks without room, so these start after a boot at the latest. If the cloud has just
-        refused all machine kinds that the job may run on, they wait for the work ahead of the job."""
+        Machines are created for tasks without capacity, so these start after a boot at the latest. If the cloud has
+        just refused all machine kinds that the job may run on, they wait for the work ahead of the job."""
         spec = job.spec
         startable = sum(
             count * count_slots(spec, t.cpus, t.gpus, t.memory_gb)
--- a/meadowcross/leadership/leader_lease.py
+++ b/meadowcross/leadership/leader_lease.py
@@ -91,4 +91,4 @@
         try:
             await self._store.revoke_lease(lease_id)
         except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError):
-            log.debug("leader lease not revoked, left to expire lease=%d", lease_id)
+            log.debug("lease not revoked, left to expire lease=%d", lease_id)
--- a/meadowcross/leadership/machine_verification.py
+++ b/meadowcross/leadership/machine_verification.py
@@ -1,4 +1,4 @@
-"""Tracks whether a term knows all tasks that run on machines."""
+"""Tracks whether a term has learned of all tasks that run on machines."""
 
 from __future__ import annotations
 
--- a/meadowcross/leadership/maintenance_loop.py
+++ b/meadowcross/leadership/maintenance_loop.py
@@ -93,7 +93,7 @@
         if reach.is_better_elsewhere:
             context.leadership.begin_transfer(
                 f"{reach.reporting_machines} of {reach.known_machines} machines report here, "
-                f"best peer reach {reach.best_peer_reach}"
+                f"the best-connected peer is reached by {reach.best_peer_reach}"
             )
 
 
--- a/meadowcross/leadership/messages.py
+++ b/meadowcross/leadership/messages.py
@@ -103,7 +103,7 @@
     number: int
     """Number of the request; 0 if the sender does not wait for a response."""
     token: FencingToken
-    """Token of the leader that the sender knows. Nodes of the previous version ignore notices with another token."""
+    """Token of the leader as known to the sender. Nodes of the previous version ignore notices with another token."""
     revisions: Annotated[dict[JobId, Revision], Meta(max_length=MAX_CANCELLATIONS)] = field(name="jobs")
     unrecorded: list[JobId] = []
     """Jobs whose cancellation is stored by an unproven end record only, as their job records were lost."""
--- a/meadowcross/leadership/placement_writer.py
+++ b/meadowcross/leadership/placement_writer.py
@@ -123,7 +123,7 @@
         if placement.stop_requested_at is None or grace_s < placement.grace_s:
             placement.stop_requested_at = self._context.now
             placement.grace_s = grace_s
-            # Each heartbeat response repeats the stop, so a relay must not respond to the next heartbeat by itself.
+            # Each heartbeat response repeats the stop, so a relay must not answer the next heartbeat itself.
             self._worker_registry.machines[placement.machine].proof.reconciled_tasks = None
             self.dispatcher.enqueue_stop(placement)
 
--- a/meadowcross/leadership/scheduling_view.py
+++ b/meadowcross/leadership/scheduling_view.py
@@ -33,12 +33,12 @@
 """A task that is expected to end within this time is not preempted."""
 STARVATION_S: Seconds = 120.0
 """A job is starved, and placed first, if no task of it was placed for this time after its submission. It is half of the
-four minutes within which users expect the largest jobs to begin: the other half is left for room to become free."""
+four minutes within which users expect the largest jobs to begin: the other half is left for capacity to become free."""
 AGED_JOBS_PER_MACHINE = 0.05
 """Maximum number of jobs per machine that run out of turn because they were starved."""
 CACHED_IMAGE_WAIT_S: Seconds = 2.0
-"""How long a lost replica waits for room on a machine with its image: a preempted task is gone within a second, then
-its room may be used."""
+"""How long a lost replica waits for capacity on a machine with its image: a preempted task is gone within a second,
+then its capacity may be used."""
 MIN_FETCH_GB_PER_S = 0.01
 """Used where no machine type has a known fetch rate, so that fetch times stay finite."""
 
@@ -139,7 +139,7 @@
         )
 
     def is_schedulable(self, machine: Machine) -> bool:
-        """Whether tasks may be placed on the machine now, if it has room."""
+        """Whether tasks may be placed on the machine now, if it has free capacity."""
         return self._is_schedulable(machine, self._contact_cutoff())
 
     def _is_schedulable(self, machine: Machine, contact_cutoff: Instant) -> bool:
@@ -184,7 +184,7 @@
         return self._candidates(self._worker_registry.machines_with_free_cpu.values())
 
     def all_candidates(self) -> list[Candidate]:
-        """Returns the machines that may be given tasks, including machines without room."""
+        """Returns the machines that may be given tasks, including machines without free capacity."""
         return self._candidates(self._worker_registry.machines.values())
 
     def candidates_of(self, victims: Iterable[Victim]) -> list[Candidate]:
@@ -309,8 +309,8 @@
     def _needs_cached_image(self, spec: JobSpec, elapsed_s: Seconds, fetch_s: Seconds) -> bool:
         """Whether the job can still meet its class's objective on the start, but only on a machine that has its image.
 
-        It then preempts lower priority on such a machine instead of using free room elsewhere; half of the objective's
-        time is left for the preemption."""
+        It then preempts lower priority on such a machine instead of using free capacity elsewhere; half of the
+        objective's time is left for the preemption."""
         start_within_s = self._objectives.shortest_start_s(spec.job_class)
         return start_within_s is not None and elapsed_s < start_within_s / 2 and elapsed_s + fetch_s > start_within_s
 
--- a/meadowcross/leadership/task_outcomes.py
+++ b/meadowcross/leadership/task_outcomes.py
@@ -18,7 +18,7 @@
 
 UNHEALTHY_REASON = "it fails tasks that succeed on other machines"
 NO_ROOM_PAUSE_S: Seconds = 0.5
-"""How long no task of a job is placed after a machine had no room for one."""
+"""How long no task of a job is placed after a machine had no free capacity for one."""
 
 
 class TaskOutcomeHandler:
--- a/meadowcross/leadership/term.py
+++ b/meadowcross/leadership/term.py
@@ -102,7 +102,7 @@
     ) -> None:
         """Build the components; none of them runs before `start`.
 
-        `is_cold_start`: no controller knows the previous state, so only the machines can show whether the store still
+        `is_cold_start`: no controller has the previous state, so only the machines can show whether the store still
         holds it. `is_cancel_announced`: whether a peer announced that a job's cancellation is stored. `relay_pool`: the
         relays that respond to heartbeats for this leader."""
         self.token = token
--- a/meadowcross/openjd/authentication.py
+++ b/meadowcross/openjd/authentication.py
@@ -23,7 +23,7 @@
 
 
 class TlsContextFactory:
-    """Provides the TLS context of each new connection, built anew when one of its files has changed.
+    """Provides the TLS context of each new connection, reloaded when one of its files has changed.
 
     If changed files can't be used, the error is logged once and the previous context stays in use.
     """
--- a/meadowcross/openjd/driver.py
+++ b/meadowcross/openjd/driver.py
@@ -337,7 +337,7 @@
     async def _store_step(
         self, ticket: OpenTicket, number: int, state: records.StepState, reason: str, job: str | None
     ) -> bool:
-        """Store a step's new state and what follows from it; the result is that of `_write`."""
+        """Store a step's new state and its consequences; returns the result of `_write`."""
         steps = list(ticket.record.steps)
         steps[number] = replace(steps[number], state=state, reason=reason, job=job)
         return await self._write(ticket, apply_consequences(replace(ticket.record, steps=steps)))
--- a/meadowcross/openjd/membership.py
+++ b/meadowcross/openjd/membership.py
@@ -97,7 +97,7 @@
             try:
                 await self._store.revoke_lease(lease)
             except (StoreUnavailableError, IndeterminateResultError, RequestRejectedError):
-                log.debug("lease not revoked, it will expire lease=%d", lease)
+                log.debug("lease not revoked, left to expire lease=%d", lease)
 
     async def _keep_lease(self) -> None:
         if self._lease is not None and not await self._store.renew_lease(self._lease, self._lease_s):
--- a/meadowcross/relay/messages.py
+++ b/meadowcross/relay/messages.py
@@ -35,7 +35,7 @@
 
 
 class HeartbeatRenewals(Struct, tag="renewals", tag_field="kind"):
-    """The heartbeats that a relay answered by itself since its previous message of this kind."""
+    """The heartbeats that a relay answered for the leader since its previous message of this kind."""
 
     node: NodeName
     token: FencingToken
--- a/meadowcross/replication/follower.py
+++ b/meadowcross/replication/follower.py
@@ -38,8 +38,8 @@
 WATCH_TIMEOUT_S: Seconds = 5.0
 RETRY_DELAY_S: Seconds = 1.0
 ESTABLISHED_LEADER_S: Seconds = 5.0
-"""Time after which a leader knows of data losses that peers detected: connected peers report a loss with their next
-heartbeat, at most one second later."""
+"""Time after which a leader has received the data losses that peers detected: connected peers report a loss with their
+next heartbeat, at most one second later."""
 
 
 class FollowerState(Enum):
--- a/meadowcross/store/group_commit.py
+++ b/meadowcross/store/group_commit.py
@@ -108,7 +108,7 @@
     """Stores the leader's writes: urgent writes at once, background writes after a short delay.
 
     Every transaction carries `leader_condition`, so that no transaction succeeds after the election of another leader.
-    `reread_keys` must update the revisions that the caller knows for the given keys. `on_written` is called with all
+    `reread_keys` must update the caller's known revisions of the given keys. `on_written` is called with all
     changes of a transaction, before the callbacks of its writes.
     """
 
