--- a/meadowcross/workers/__init__.py
+++ b/meadowcross/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Reports, commands and what is proven to be on which machine."""
+"""Workers: their heartbeats, the commands to them, and the tasks that are proven to be on each machine."""
--- a/meadowcross/workers/api.py
+++ b/meadowcross/workers/api.py
@@ -1,6 +1,7 @@
-"""The HTTP interface for workers' heartbeats, at each node.
+"""The HTTP interface for workers' heartbeats, served by every controller.
 
-The leader handles them, a relay answers or forwards them for the leader, any other node names the leader.
+The leader handles heartbeats, a relay answers them for the leader or forwards them, any other controller redirects the
+worker to the leader.
 """
 
 from __future__ import annotations
@@ -25,27 +26,27 @@
 HTTP_OK, HTTP_BAD_REQUEST, HTTP_MISDIRECTED_REQUEST = 200, 400, 421
 
 HandleHeartbeat = Callable[[Heartbeat], HeartbeatResponse | Redirect | None]
-"""The leader's handler; None: it does not lead any more."""
+"""The leader's handler of heartbeats; it returns None if this controller does not lead any more."""
 
 
 class HeartbeatRelay(Protocol):
-    """The part of a relay that the interface needs; see `meadowcross.relay.relay.Relay`."""
+    """The part of a relay that the heartbeat interface uses; see `meadowcross.relay.relay.Relay`."""
 
     def active_grant(self) -> object | None:
-        """The grant by which this node may answer workers, or None."""
+        """Return the leader's grant under which this controller may answer workers, or None."""
         ...
 
     def answer_unchanged(self, heartbeat: Heartbeat) -> ServerResponse | None:
-        """The response, if the heartbeat repeats the last full one."""
+        """Return the response to a heartbeat that repeats the worker's last full heartbeat, else None."""
         ...
 
     async def forward_heartbeat(self, heartbeat: Heartbeat, body: bytes) -> ServerResponse | None:
-        """The leader\'s response; None: redirect the worker."""
+        """Return the leader's response, or None if the worker is to be redirected."""
         ...
 
 
 class WorkerApi:
-    """Handles `POST /checkin`."""
+    """Handles the workers' heartbeats, `POST /checkin`."""
 
     def __init__(
         self,
@@ -55,8 +56,8 @@
         on_token_seen: Callable[[FencingToken], None] = lambda _token: None,
         relay: HeartbeatRelay | None = None,
     ) -> None:
-        """`leader_handler` returns the handler while this node leads; `leader_name` the leader that this node knows;
-        `on_token_seen` is called with the token of each heartbeat."""
+        """`leader_handler` returns the leader's handler while this controller leads, else None. `leader_name` returns
+        the leader's name, or None if it is unknown. `on_token_seen` is called with the token of each heartbeat."""
         self._relay = relay
         self._on_token_seen = on_token_seen
         self._leader_handler = leader_handler
@@ -64,32 +65,32 @@
         self._tracker = tracker
 
     def add_routes(self, router: Router) -> None:
-        """Add the path of heartbeats."""
+        """Register the path of heartbeats with the router."""
         router.add("POST", r"/checkin", self.handle_heartbeat)
 
     def handle_heartbeat(self, body: bytes) -> ServerResponse | Awaitable[ServerResponse]:
-        """Answer one heartbeat: 200, 400 if malformed, 421 elsewhere, or what the leader answered through the relay."""
-        handle = self._leader_handler()
+        """Answer a heartbeat: 200 by the leader or a relay, 400 if it is malformed, 421 to redirect the worker."""
+        handler = self._leader_handler()
         relay = self._relay if self._relay is not None and self._relay.active_grant() is not None else None
         try:
-            if handle is not None:
-                return self._answer_as_leader(handle, decode_heartbeat(body))
+            if handler is not None:
+                return self._answer_as_leader(handler, decode_heartbeat(body))
             if relay is not None:
                 return self._answer_as_relay(relay, decode_heartbeat(body), body)
-            return self._answer_elsewhere(body)
+            return self._answer_as_follower(body)
         except msgspec.DecodeError as error:
             return error_response(HTTP_BAD_REQUEST, str(error))
 
-    def _answer_as_leader(self, handle: HandleHeartbeat, heartbeat: Heartbeat) -> ServerResponse:
+    def _answer_as_leader(self, handler: HandleHeartbeat, heartbeat: Heartbeat) -> ServerResponse:
         self._tracker.record(heartbeat.machine, heartbeat.version)
         self._on_token_seen(heartbeat.token)
-        response = handle(heartbeat)
+        response = handler(heartbeat)
         if isinstance(response, HeartbeatResponse):
             return ServerResponse(HTTP_OK, encode(response) + b"\n")
         return self._redirect() if response is None else _misdirected(response)
 
-    def _answer_elsewhere(self, body: bytes) -> ServerResponse:
-        """As a node that neither leads nor relays: only the header is decoded."""
+    def _answer_as_follower(self, body: bytes) -> ServerResponse:
+        """Redirect the worker, as a controller that neither leads nor relays; decode only the heartbeat's header."""
         header = decode_heartbeat_header(body)
         self._tracker.record(header.machine, header.version)
         self._on_token_seen(header.token)
--- a/meadowcross/workers/eviction.py
+++ b/meadowcross/workers/eviction.py
@@ -1,6 +1,6 @@
-"""Tasks that must leave a machine: before the cloud reclaims it, while it is drained, or after a cancellation.
+"""Selects the tasks to stop on a machine: before the cloud reclaims it, while it drains, or after a cancellation.
 
-Pure functions over the job table and a machine's state.
+All functions are pure functions of the job table and a machine's state.
 """
 
 from __future__ import annotations
@@ -16,36 +16,40 @@
 from meadowcross.workers.machine import Machine
 
 OVERRUN_FACTOR = 1.5
-"""A task is stopped before a reclaim only if it is expected to need this much longer than there is left: the estimate
-may be too high, and the task may end in time."""
+"""A task without checkpoints is stopped before a reclaim only if its expected time left exceeds the machine's time left
+by this factor: the estimate may be too high, and the task may end in time."""
 STOP_RETRY_S: Seconds = 2.0
-"""A stop whose task is not gone is sent again after this time."""
+"""A stop command is sent again after this time if its task is not gone."""
 MIN_RUN_BEFORE_MOVE_S: Seconds = 30.0
-"""A start counts for the service level objectives if no command stops it within this time."""
+"""A task is not moved before it has run for this time: a start counts for the service level objectives only if no
+command stops it within the time."""
 
 
 class Eviction(NamedTuple):
-    """A placement to stop, and the time that it may take to save a checkpoint."""
+    """A placement to stop, and its grace period to save a checkpoint."""
 
     placement: Placement
     grace_s: Seconds
 
 
 class OverdueCancellation(NamedTuple):
-    """A cancelled job with placements left, and how long ago it was cancelled."""
+    """A cancelled job that still has placements, and the time since its cancellation."""
 
     job: Job
     cancelled_for_s: Seconds
 
 
 def plan_reclaim_evictions(machine: Machine, job_table: JobTable, runs: Runs, now: Instant) -> list[Eviction]:
-    """What to stop on a machine with a spot notice. A task with checkpoints saves, a gang all together, since the save
-    of a part would fail; a task that can't end in time is stopped at once to start again elsewhere; one that may end
-    in time goes on."""
+    """Return the placements to stop on a machine with an eviction notice.
+
+    A task with checkpoints saves one. In a gang all tasks save together, since a checkpoint of some of them would
+    fail. A task without checkpoints that can't end in time is stopped at once to start again on another machine; a task
+    that may end in time continues.
+    """
     if machine.reclaim_at is None:
         return []
     remaining_s = machine.reclaim_at - now
-    stops: dict[int, Eviction] = {}
+    evictions: dict[int, Eviction] = {}
     for placement in machine.placements.values():
         job = job_table.jobs.get(placement.task.job)
         if job is None or placement.stop_requested_at is not None or placement.phase is not PlacementPhase.RUNNING:
@@ -54,17 +58,19 @@
             if remaining_s > job.spec.checkpoint_save_s:
                 for member in job.placements.values() if job.is_gang else [placement]:
                     if member.may_have_started and member.stop_requested_at is None:
-                        stops[id(member)] = Eviction(member, max(remaining_s, job.spec.checkpoint_save_s))
+                        evictions[id(member)] = Eviction(member, max(remaining_s, job.spec.checkpoint_save_s))
         elif not job.is_gang and runs.left(job.spec, ran(job, placement, now)) > OVERRUN_FACTOR * max(remaining_s, 0.0):
-            stops[id(placement)] = Eviction(placement, 0.0)
-    return list(stops.values())
+            evictions[id(placement)] = Eviction(placement, 0.0)
+    return list(evictions.values())
 
 
 def unacknowledged_stops(jobs: Iterable[Job], now: Instant, max_machines: int) -> list[Placement]:
-    """Placements of cancelled jobs that are not gone although their stops were sent, of at most `max_machines`
-    machines, those of the oldest stops first: the request may be lost, and a machine that reaches no controller gets
-    the stop in no response to a heartbeat."""
-    overdue = [
+    """Return placements of cancelled jobs that are not gone although their stop commands were sent.
+
+    They are on at most `max_machines` machines, chosen by the oldest stop commands. The request may have been lost, and
+    a machine that reaches no controller receives no stop command in the response to a heartbeat.
+    """
+    unacknowledged = [
         placement
         for job in jobs
         if job.cancelled_at is not None
@@ -73,26 +79,31 @@
         and placement.stop_sent_at is not None
         and now - placement.stop_sent_at >= STOP_RETRY_S
     ]
-    overdue.sort(key=lambda placement: placement.stop_sent_at or 0.0)
-    chosen = set(list(dict.fromkeys(placement.machine for placement in overdue))[:max_machines])
-    return [placement for placement in overdue if placement.machine in chosen]
+    unacknowledged.sort(key=lambda placement: placement.stop_sent_at or 0.0)
+    machines = set(list(dict.fromkeys(placement.machine for placement in unacknowledged))[:max_machines])
+    return [placement for placement in unacknowledged if placement.machine in machines]
 
 
-def overdue_cancellations(jobs: Iterable[Job], now: Instant, patience_s: Seconds) -> list[OverdueCancellation]:
-    """Jobs that were cancelled at least `patience_s` ago and that stops don't clear: their machines are to be deleted,
-    so that the tasks end in time."""
+def overdue_cancellations(jobs: Iterable[Job], now: Instant, min_age_s: Seconds) -> list[OverdueCancellation]:
+    """Return the jobs that were cancelled at least `min_age_s` ago and still have placements.
+
+    Their stop commands have no effect, so their machines are to be deleted to end the tasks in time.
+    """
     return [
         OverdueCancellation(job, now - job.cancelled_at)
         for job in jobs
-        if job.cancelled_at is not None and job.placements and now - job.cancelled_at >= patience_s
+        if job.cancelled_at is not None and job.placements and now - job.cancelled_at >= min_age_s
     ]
 
 
 def plan_drain_evictions(machine: Machine, job_table: JobTable, runs: Runs, now: Instant) -> list[Eviction]:
-    """What to stop on a draining machine: saved progress continues elsewhere; a task without checkpoints, or one that
-    is about to end, may end here. One that runs longer than expected is not about to end: such tasks would keep
-    expensive machines for minutes."""
-    stops: list[Eviction] = []
+    """Return the placements to stop on a draining machine.
+
+    A task with checkpoints continues from its checkpoint on another machine. A task without checkpoints, or one that is
+    about to end, may end here. A task that has run for longer than expected does not count as about to end: such tasks
+    would keep expensive machines for minutes.
+    """
+    evictions: list[Eviction] = []
     for placement in machine.placements.values():
         job = job_table.jobs.get(placement.task.job)
         if job is None or job.is_gang or job.spec.checkpoint_interval_s <= 0 or placement.stop_requested_at is not None:
@@ -104,5 +115,5 @@
             now - placement.running_at > MIN_RUN_BEFORE_MOVE_S
             and not 0 <= remaining_s <= 2 * job.spec.checkpoint_save_s
         ):
-            stops.append(Eviction(placement, checkpoint_grace_s(job.spec.checkpoint_save_s)))
-    return stops
+            evictions.append(Eviction(placement, checkpoint_grace_s(job.spec.checkpoint_save_s)))
+    return evictions
--- a/meadowcross/workers/messages.py
+++ b/meadowcross/workers/messages.py
@@ -1,6 +1,7 @@
-"""Messages between workers and controllers, as PROTOCOL-meadowcross.md describes them.
+"""Defines the messages between workers and controllers, as PROTOCOL-meadowcross.md describes them.
 
-The wire names appear in this module only; everywhere else the names of the fields are used. Durations are in seconds.
+Only this module contains the names on the wire; all other modules use the names of the fields. Durations are in
+seconds.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 
 
 class TaskState(Enum):
-    """How far a task on a worker has come."""
+    """State of a task on a worker."""
 
     FETCHING = "fetching"
     WAITING = "waiting"
     RUNNING = "running"
-    SAVING = "flushing"
+    CHECKPOINTING = "flushing"
     EXITED = "ended"
 
 
 class TaskReport(Struct):
-    """A task on a worker, until it is reaped; `exit_reason` is one of the `EXIT_` constants once it ended."""
+    """A task on a worker, reported until it is reaped; once it ended, `exit_reason` is one of the `EXIT_` constants."""
 
     task: str = field(name="head")
     attempt: int = field(name="round")
@@ -37,7 +38,8 @@
 class Heartbeat(Struct):
     """A worker's heartbeat, or its status as the response to direct commands.
 
-    `token` is the highest that the worker has seen; `notice_s` the time until the cloud reclaims its machine.
+    `token` is the highest fencing token that the worker has seen. `notice_s` is the time until the cloud reclaims the
+    machine, if there is an eviction notice.
     """
 
     machine: MachineId = field(name="stall")
@@ -53,12 +55,12 @@
 
     @property
     def version(self) -> HeartbeatVersion:
-        """Orders the statuses of one worker."""
+        """Version that orders the statuses of one worker."""
         return HeartbeatVersion(self.incarnation, self.seq)
 
 
 class HeartbeatHeader(Struct):
-    """The fields of a heartbeat that a node which does not lead reads; the rest of the body is skipped."""
+    """The fields of a heartbeat that a controller reads if it does not lead; the rest of the body is skipped."""
 
     machine: MachineId = field(name="stall")
     token: FencingToken = field(name="crook", default=FencingToken(0))
@@ -67,7 +69,7 @@
 
     @property
     def version(self) -> HeartbeatVersion:
-        """Orders the statuses of one worker."""
+        """Version that orders the statuses of one worker."""
         return HeartbeatVersion(self.incarnation, self.seq)
 
 
@@ -81,7 +83,7 @@
 
 
 class Command(Struct, omit_defaults=True):
-    """One command to a worker; `grace_s` belongs to a stop."""
+    """One command to a worker; only a stop has `grace_s`, the time to save a checkpoint."""
 
     op: Literal["start", "stop", "reap"] = field(name="call")
     task: str = field(name="head")
@@ -90,14 +92,14 @@
 
 
 class HeartbeatResponse(Struct):
-    """The response to a heartbeat."""
+    """The leader's response to a heartbeat."""
 
     token: FencingToken = field(name="crook")
     commands: list[Command] = field(name="calls")
 
 
 class DirectCommands(Struct):
-    """Commands sent to a worker's own address; rejected by any other incarnation of it."""
+    """Direct commands, sent to a worker's own address; any other incarnation of the worker rejects them."""
 
     token: FencingToken = field(name="crook")
     incarnation: int = field(name="tenure")
@@ -105,7 +107,7 @@
 
 
 class Redirect(Struct, omit_defaults=True):
-    """The body of a 421: the node to send heartbeats to, if it is known."""
+    """The body of a 421 response: the node that heartbeats are to be sent to, or None if it is unknown."""
 
     report_to: NodeName | None = field(name="drover", default=None)
 
--- a/meadowcross/workers/registry.py
+++ b/meadowcross/workers/registry.py
@@ -1,7 +1,8 @@
-"""The workers by name, and what their heartbeats prove of the placements on them.
+"""Keeps the workers by name, and decides what their heartbeats prove of the placements on them.
 
-A placement counts as gone only by a newest status that carries our own token and lacks it (or shows it ended) while
-no start for it is open, or by the cloud's answer that its machine is deleted. No clock proves anything here.
+A placement is proven gone only by a newest status that carries this term's token and lacks the placement (or shows it
+ended) while no start command for it is open, or by the cloud's response that its machine is deleted. No elapsed time
+proves anything.
 """
 
 from __future__ import annotations
@@ -20,28 +21,28 @@
     TaskState.FETCHING: PlacementPhase.FETCHING,
     TaskState.WAITING: PlacementPhase.WAITING,
     TaskState.RUNNING: PlacementPhase.RUNNING,
-    TaskState.SAVING: PlacementPhase.CHECKPOINTING,
+    TaskState.CHECKPOINTING: PlacementPhase.CHECKPOINTING,
 }
-# Looked up once, not for each task of each heartbeat.
+# Module-level names avoid an attribute lookup for each task of each heartbeat.
 _EXITED, _RUNNING, _WAITING = TaskState.EXITED, TaskState.RUNNING, TaskState.WAITING
 _PHASE_SENT, _PHASE_RUNNING, _PHASE_WAITING = PlacementPhase.SENT, PlacementPhase.RUNNING, PlacementPhase.WAITING
 
 LOST = "lost"
-"""Exit reason of a placement that its machine does not report any more."""
+"""Exit reason of a placement whose task its machine does not report any more."""
 
 
 class TaskChange(Enum):
-    """What a status proved of a placement."""
+    """The change of a placement that a status proved."""
 
     DONE = "done"
     GONE = "gone"
     RUNNING = "runs"
     WAITING = "waits"
-    """For its gang, with its image: a replacement on another machine would have to fetch the image again."""
+    """The task waits for its gang and has its image; a replacement on another machine would have to fetch the image."""
 
 
 class TaskOutcome(NamedTuple):
-    """A change of one placement, with the worker's exit reason where the task ended."""
+    """A change of one placement, with the worker's exit reason if the task ended."""
 
     change: TaskChange
     placement: Placement
@@ -50,33 +51,33 @@
 
 
 class StaleTokenError(Exception):
-    """A worker has seen a higher token: another node leads."""
+    """Raised when a worker has seen a higher token, so that another controller leads."""
 
     def __init__(self, machine: MachineId, seen: FencingToken, own: FencingToken) -> None:
-        super().__init__(f"{machine} has seen token {seen}, ours is {own}")
+        super().__init__(f"{machine} has seen token {seen}, which is higher than the leader's token {own}")
 
 
 class WorkerRegistry:
-    """All machines that are rented or may be, with their placements. Its methods may be called from any thread."""
+    """All machines that exist or may exist, with their placements. The methods may be called from any thread."""
 
     def __init__(self, token: FencingToken) -> None:
-        """`token` is the term's: statuses that carry a lower one prove nothing."""
+        """`token` is the token of the term; a status with a lower token proves nothing."""
         self._lock = RLock()
         self.token = token
         self.machines: dict[MachineId, Machine] = {}
         self.machines_with_free_cpu: dict[MachineId, Machine] = {}
-        """Machines with a free CPU, whatever else may exclude them. A placement pass looks at these only, as few
-        machines of a busy fleet have one."""
+        """Machines with a free CPU, which may be excluded from placement for other reasons. A placement pass reads only
+        these, since few machines of a busy fleet have a free CPU."""
 
     def add(self, machine: Machine) -> Machine:
-        """Add a machine; returns the one of this name that is known already, if there is one."""
+        """Add a machine; return the machine that already has this name, if there is one, instead."""
         with self._lock:
-            known = self.machines.setdefault(machine.id, machine)
-            self._update_free_cpu(known)
-            return known
+            registered = self.machines.setdefault(machine.id, machine)
+            self._update_free_cpu(registered)
+            return registered
 
     def on_type_known(self, machine: Machine) -> None:
-        """The machine's type was set."""
+        """Update the machines with a free CPU after the machine's type was set."""
         with self._lock:
             self._update_free_cpu(machine)
 
@@ -87,13 +88,13 @@
             self.machines_with_free_cpu.pop(machine.id, None)
 
     def assign(self, machine: Machine, placement: Placement, spec: JobSpec) -> None:
-        """Count a placement on a machine."""
+        """Add a placement to a machine."""
         with self._lock:
             machine.add_placement(placement, spec)
             self._update_free_cpu(machine)
 
     def unassign(self, placement: Placement, spec: JobSpec, now: Instant) -> None:
-        """Count a placement on its machine no more; nothing happens if it was not counted there."""
+        """Remove a placement from its machine; a placement that is not on its machine is ignored."""
         with self._lock:
             machine = self.machines.get(placement.machine)
             if machine is None or machine.placements.get(placement.task) is not placement:
@@ -102,21 +103,21 @@
             self._update_free_cpu(machine)
 
     def remove(self, machine: MachineId) -> list[Placement]:
-        """The cloud's delete answered 200: returns the placements that are gone with the machine."""
+        """Remove a machine whose deletion the cloud answered with 200; return the placements that are gone with it."""
         with self._lock:
             removed = self.machines.pop(machine, None)
             self.machines_with_free_cpu.pop(machine, None)
             return list(removed.placements.values()) if removed else []
 
     def record_starts_sent(self, machine: Machine, incarnation: int, starts: list[TaskAttempt]) -> None:
-        """Start commands are about to be sent: until they are closed, a status proves nothing of these attempts."""
+        """Record starts that are about to be sent; until they are closed, no status proves their attempts gone."""
         with self._lock:
             machine.proof.reconciled_tasks = None
             for start in starts:
                 machine.proof.open_starts[start] = incarnation
 
     def close_starts(self, machine: Machine, starts: list[TaskAttempt]) -> None:
-        """Start commands got a response, or were certainly not sent."""
+        """Close start commands that got a response or were certainly not sent."""
         with self._lock:
             machine.proof.reconciled_tasks = None
             for start in starts:
@@ -125,12 +126,15 @@
     def apply_renewal(
         self, machine: Machine, version: HeartbeatVersion, full_version: HeartbeatVersion, now: Instant
     ) -> bool:
-        """A relay answered heartbeat `version`, which repeats the full one `full_version`. Returns False if the next
-        one must come in full: the repeated one is not the newest that was applied, or must be compared again."""
+        """Apply a heartbeat renewal: a relay answered heartbeat `version`, which repeats full heartbeat `full_version`.
+
+        Returns False if the next heartbeat must be a full one, because the repeated one is not the newest that was
+        applied or has to be compared again.
+        """
         with self._lock:
             proof = machine.proof
             if version <= max(proof.heartbeat_version, proof.renewed_version):
-                # A late copy, or the same renewal a second time.
+                # The renewal is a late copy, or was applied before.
                 return True
             if version.incarnation != proof.heartbeat_version.incarnation:
                 return False
@@ -143,8 +147,11 @@
             )
 
     def apply_heartbeat(self, machine: Machine, heartbeat: Heartbeat, now: Instant) -> list[TaskOutcome] | None:
-        """Apply a full heartbeat or the status of a direct response. Returns what it proved, or None if it is not the
-        newest or carries a lower token than ours. Raises StaleTokenError."""
+        """Apply a full heartbeat, or the status in a response to direct commands.
+
+        Returns the outcomes that it proved, or None if it is not the newest status or carries a lower token than the
+        term's. Raises StaleTokenError if it carries a higher token.
+        """
         with self._lock:
             proof, version = machine.proof, heartbeat.version
             if heartbeat.token > self.token:
@@ -154,57 +161,57 @@
             proof.advance(version)
             machine.contact.record_status(now)
             machine.address = heartbeat.address
-            machine.record_notice(heartbeat.notice_s, now)
+            machine.record_eviction_notice(heartbeat.notice_s, now)
             if heartbeat.token < self.token:
-                # Commands of an earlier leader may still be executed there: nothing is proven.
+                # The worker may still execute commands of an earlier leader, so the status proves nothing.
                 return None
             proof.has_confirmed_token = True
             if heartbeat.tasks == proof.reconciled_tasks:
-                # Most heartbeats of a large fleet only renew the lease.
+                # Most heartbeats of a large fleet only renew the worker lease.
                 return []
             outcomes = self._compare_tasks(machine, heartbeat, now)
-            # Only ended tasks are left for the caller to reconcile.
+            # The tasks have to be compared again if the caller has to act on an ended or lost task.
             is_reconciled = all(outcome.change in (TaskChange.RUNNING, TaskChange.WAITING) for outcome in outcomes)
             proof.reconciled_tasks = heartbeat.tasks if is_reconciled else None
             return outcomes
 
     def _compare_tasks(self, machine: Machine, heartbeat: Heartbeat, now: Instant) -> list[TaskOutcome]:
-        """Compare the tasks of a status with the placements on its machine."""
+        """Compare the tasks of a status with the placements on its machine; set the reported exited and stale tasks."""
         outcomes: list[TaskOutcome] = []
         placements, reported, proof = machine.placements, machine.reported, machine.proof
         reported.exited, reported.stale = [], []
-        present: list[TaskId] = []
+        matched_tasks: list[TaskId] = []
         for task in heartbeat.tasks:
             task_id = TaskId.parse(task.task)
             placement = placements.get(task_id)
             if placement is not None and placement.attempt == task.attempt:
-                present.append(task_id)
+                matched_tasks.append(task_id)
             else:
                 placement = None
             if task.state is _EXITED:
-                # A task with its start open could be started again by it once it is reaped.
+                # A task whose start is open is not reaped: the start command could start it again afterwards.
                 if not proof.has_open_start(task_id, task.attempt):
                     reported.exited.append(task)
                 if placement is not None and placement.phase >= _PHASE_SENT:
-                    outcomes.append(_ended(placement, task))
+                    outcomes.append(_ended_outcome(placement, task))
             elif placement is None:
                 reported.stale.append(task)
             elif placement.phase >= _PHASE_SENT:
                 outcome = _apply_state(machine, placement, task.state, now)
                 if outcome is not None:
                     outcomes.append(outcome)
-        if len(present) < len(placements):
-            outcomes += _find_lost(machine, set(present))
+        if len(matched_tasks) < len(placements):
+            outcomes += _lost_outcomes(machine, set(matched_tasks))
         return outcomes
 
 
-def _ended(placement: Placement, task: TaskReport) -> TaskOutcome:
+def _ended_outcome(placement: Placement, task: TaskReport) -> TaskOutcome:
     change = TaskChange.DONE if task.exit_reason == EXIT_DONE else TaskChange.GONE
     return TaskOutcome(change, placement, task.exit_reason, task.has_saved_progress)
 
 
 def _apply_state(machine: Machine, placement: Placement, state: TaskState, now: Instant) -> TaskOutcome | None:
-    """Set the phase of a placement that its machine reports as not ended; returns the change worth telling."""
+    """Set the phase of a placement that its machine reports as not ended; return the change to report, if any."""
     outcome = None
     if state is _RUNNING:
         if placement.running_at is None:
@@ -219,12 +226,12 @@
     return outcome
 
 
-def _find_lost(machine: Machine, present: set[TaskId]) -> list[TaskOutcome]:
-    """Placements that the status lacks while no start for them is open."""
+def _lost_outcomes(machine: Machine, matched_tasks: set[TaskId]) -> list[TaskOutcome]:
+    """Return outcomes for the placements that the status lacks while no start for them is open."""
     return [
         TaskOutcome(TaskChange.GONE, placement, LOST)
         for placement in machine.placements.values()
         if placement.phase >= _PHASE_SENT
-        and placement.task not in present
+        and placement.task not in matched_tasks
         and not machine.proof.has_open_start(placement.task, placement.attempt)
     ]
